--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
@@ -230,11 +230,11 @@
         EntryServer.listen(
             settings.callers(),
             io,
-            forwarder::take,
+            forwarder::forward,
             adapters.headers(),
             settings.maxHeaderBytes(),
             this::limits,
-            () -> stopping || !forwarder.fresh(),
+            () -> stopping || !forwarder.hasFreshConfiguration(),
             callerConnections,
             counters);
     readiness = EntryServer.listenReadiness(settings.readiness(), io, this::ready);
@@ -305,7 +305,8 @@
   }
 
   private boolean ready() {
-    boolean ready = !stopping && forwarder.fresh() && (wasReady || everyLayerHeld());
+    boolean ready =
+        !stopping && forwarder.hasFreshConfiguration() && (wasReady || everyLayerHeld());
     if (ready && !wasReady) {
       wasReady = true;
       EventLog.info(Event.READY, "endpoints", fleet.size());
@@ -332,7 +333,7 @@
       EventLog.warn(Event.SETTING_NEEDS_RESTART, "field", field);
     }
     settings = settings.withChangeableFieldsOf(next);
-    forwarder.limits(limits(settings));
+    forwarder.updateLimits(limits(settings));
     EventLog.info(
         Event.SETTINGS_READ_AGAIN,
         "keyRevocationMs",
@@ -364,7 +365,7 @@
     StopPlan plan = StopPlan.within(settings.stopGrace());
     Duration passed = Duration.ofNanos(io.currentTime(NANOSECONDS) - begun);
     if (!plan.takesNew(passed)) {
-      forwarder.refuseNew();
+      forwarder.refuseNewRequests();
     }
     if (plan.closesIdle(passed) && !closingIdle) {
       closingIdle = true;
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/BackoffTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/BackoffTest.java
@@ -10,7 +10,7 @@
 import org.vaneworks.state.Reason;
 import org.vaneworks.state.Refusal;
 import org.vaneworks.state.Verdict;
-import org.vaneworks.tests.forwarding.Got;
+import org.vaneworks.tests.forwarding.RecordedResponse;
 
 /** Guards against calls to an engine that asked the node for a time without any. */
 final class BackoffTest {
@@ -22,7 +22,7 @@
 
   private final SharedEngines fleet = new SharedEngines(NODES, ENGINES, 7);
   private int asked;
-  private final List<Got> answers = new ArrayList<>();
+  private final List<RecordedResponse> answers = new ArrayList<>();
 
   /** Asks nodes in turn. */
   private void ask(int seconds) {
@@ -94,7 +94,7 @@
       fleet.turnsAway(engine, 10_000);
     }
     ask(2);
-    Got got = fleet.ask(0, "now");
+    RecordedResponse got = fleet.ask(0, "now");
     Refusal refusal = got.refusal.orElseThrow();
     assertEquals(Reason.NO_ENDPOINT, refusal.reason());
     assertEquals(Verdict.NOT_RUN, refusal.verdict());
@@ -113,7 +113,7 @@
       fleet.takesAgain(engine);
     }
     fleet.advance((int) comeBack.toMillis());
-    Got again = fleet.ask(0, "again");
+    RecordedResponse again = fleet.ask(0, "again");
     fleet.advance(1000);
     assertTrue(again.whole, "asked back after " + comeBack + " at " + refusedAt + " ms");
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CourseCaller.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CourseCaller.java
@@ -9,12 +9,12 @@
 import java.util.Optional;
 import java.util.function.LongSupplier;
 import java.util.stream.IntStream;
-import org.vaneworks.coordination.forwarding.AnswerHead;
-import org.vaneworks.coordination.forwarding.CallerAnswer;
+import org.vaneworks.coordination.forwarding.CallerResponse;
+import org.vaneworks.coordination.forwarding.ResponseHead;
 import org.vaneworks.state.Refusal;
 import org.vaneworks.state.Verdict;
 import org.vaneworks.state.entry.EntryRoute;
-import org.vaneworks.tests.forwarding.Got;
+import org.vaneworks.tests.forwarding.RecordedResponse;
 
 /**
  * A caller of a course, who judges what it gets by what engines know of its request.
@@ -23,7 +23,7 @@
  * its engine ended it, its time is over or it left itself; not because its node let go of an engine
  * that would have gone on.
  */
-final class CourseCaller implements CallerAnswer {
+final class CourseCaller implements CallerResponse {
   /** Its node let go of an engine for another, which turned the request away. */
   static final String LET_GO_IN_VAIN = "cut as it was let go for an engine without room";
 
@@ -40,9 +40,9 @@
   private final LongSupplier stoodStill;
   private final long askedAt;
   private long stoodStillBefore;
-  private final Got got = new Got();
+  private final RecordedResponse got = new RecordedResponse();
   private final List<String> problems = new ArrayList<>();
-  private Optional<Flow> flow = Optional.empty();
+  private Optional<CallerResponse.Listener> flow = Optional.empty();
   private long takenAt;
   private long overAt;
 
@@ -73,7 +73,7 @@
   }
 
   /** Takes note that the node has the request. */
-  void taken(Flow by) {
+  void taken(CallerResponse.Listener by) {
     takenAt = clock.getAsLong();
     stoodStillBefore = stoodStill.getAsLong();
     flow = Optional.of(by);
@@ -88,7 +88,7 @@
   void gone() {
     if (left && !nodeKnows) {
       nodeKnows = true;
-      flow.orElseThrow().gone();
+      flow.orElseThrow().disconnected();
     }
   }
 
@@ -130,7 +130,7 @@
   }
 
   @Override
-  public void head(AnswerHead head) {
+  public void head(ResponseHead head) {
     check(got.status.isEmpty(), "a second head");
     noteNews("a head");
     got.head(head);
@@ -151,9 +151,9 @@
   }
 
   @Override
-  public void cut() {
+  public void abort() {
     noteNews("a cut");
-    got.cut();
+    got.abort();
     noteOver();
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.vaneworks.state.Reason;
 import org.vaneworks.state.Verdict;
-import org.vaneworks.tests.forwarding.Got;
+import org.vaneworks.tests.forwarding.RecordedResponse;
 
 /**
  * Checks how often a request reaches engines that end when they run it.
@@ -68,7 +68,7 @@
     }
     fleet.advance(1000);
     long before = fleet.crashingArrivalsFrom(0);
-    Got got = fleet.ask(0, SharedEngines.CRASHING);
+    RecordedResponse got = fleet.ask(0, SharedEngines.CRASHING);
     fleet.advance(1000);
     assertEquals(before, fleet.crashingArrivalsFrom(0));
     assertEquals(Reason.QUARANTINED, got.refusal.get().reason());
@@ -117,7 +117,7 @@
     fleet.store.put("quarantine/other", "");
     askAgainAndAgain(30, 500);
     assertHeldBackAfterTheThirdEnd();
-    Got got = fleet.ask(0, "letter");
+    RecordedResponse got = fleet.ask(0, "letter");
     fleet.advance(2000);
     assertTrue(got.whole);
   }
@@ -156,7 +156,7 @@
 
   @Test
   void otherRequestsThatWereAtTheSameEnginesAreServed() {
-    List<Got> others = new ArrayList<>();
+    List<RecordedResponse> others = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       fleet.ask(i, SharedEngines.CRASHING);
       for (int j = 0; j < 10; j++) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/LimitedEngineTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/LimitedEngineTest.java
@@ -11,7 +11,7 @@
 import org.vaneworks.state.Refusal;
 import org.vaneworks.state.StatedLimit;
 import org.vaneworks.state.Verdict;
-import org.vaneworks.tests.forwarding.Got;
+import org.vaneworks.tests.forwarding.RecordedResponse;
 
 /**
  * Checks that an engine gets no more requests a second, from all nodes together, than it says.
@@ -33,12 +33,12 @@
   private SharedEngines fleet = new SharedEngines(NODES, ENGINES, 7);
   private int nodes = NODES;
   private int asked;
-  private final List<Got> answers = new ArrayList<>();
+  private final List<RecordedResponse> answers = new ArrayList<>();
 
   /** Asks nodes in turn. */
   private void ask(int seconds, int perSecond) {
     for (int i = 0; i < seconds * perSecond; i++) {
-      Got got = fleet.ask(asked % nodes, "letter " + asked);
+      RecordedResponse got = fleet.ask(asked % nodes, "letter " + asked);
       answers.add(got);
       asked++;
       fleet.advance(1000 / perSecond);
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
@@ -39,9 +39,9 @@
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 import org.vaneworks.coordination.fleet.TurnedAwayException;
 import org.vaneworks.coordination.forwarding.Attempt;
-import org.vaneworks.coordination.forwarding.CallerAnswer;
 import org.vaneworks.coordination.forwarding.CallerRequest;
-import org.vaneworks.coordination.forwarding.EndpointCalls;
+import org.vaneworks.coordination.forwarding.CallerResponse;
+import org.vaneworks.coordination.forwarding.EndpointTransport;
 import org.vaneworks.coordination.forwarding.Forwarder;
 import org.vaneworks.coordination.forwarding.ForwardingLimits;
 import org.vaneworks.coordination.load.LoadExchange;
@@ -70,8 +70,8 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.telemetry.Metric;
 import org.vaneworks.testlib.PausedExecutor;
-import org.vaneworks.tests.forwarding.Got;
-import org.vaneworks.tests.forwarding.Head;
+import org.vaneworks.tests.forwarding.FakeResponseHead;
+import org.vaneworks.tests.forwarding.RecordedResponse;
 import org.vaneworks.tests.placement.Models;
 import org.vaneworks.tests.shared.BoxTime;
 import org.vaneworks.tests.shared.StoreInMemory;
@@ -281,15 +281,15 @@
       drain.arrived(request.node, nowMillis());
       if (holdsNothing()) {
         request.sent.end(SendRecord.End.TURNED_AWAY);
-        Head head =
-            new Head(
+        FakeResponseHead head =
+            new FakeResponseHead(
                 MISDIRECTED, true, true, Optional.of(endpoint.address()), EndpointStatement.NONE);
         request.tell(() -> request.listener.head(head));
         return;
       }
       if (turnsAwayForMillis.isPresent()) {
         request.sent.end(SendRecord.End.TURNED_AWAY);
-        Head head = turnedAway(request.node, request.isHeard());
+        FakeResponseHead head = turnedAway(request.node, request.isHeard());
         request.tell(() -> request.listener.head(head));
         return;
       }
@@ -302,7 +302,7 @@
       later(BEGINS_AFTER_MILLIS, () -> begin(request));
     }
 
-    private Head turnedAway(int node, boolean heard) {
+    private FakeResponseHead turnedAway(int node, boolean heard) {
       StatedBackoff stated = StatedBackoff.none();
       if (turnsAwayForMillis.getAsInt() > 0) {
         if (heard) {
@@ -310,7 +310,7 @@
         }
         stated = StatedBackoff.of(Duration.ofMillis(turnsAwayForMillis.getAsInt()));
       }
-      return Head.turnedAway(answer(node, heard).withBackoff(stated));
+      return FakeResponseHead.rejected(answer(node, heard).withBackoff(stated));
     }
 
     /** Returns what the engine says of itself on each answer to a node, beside a backoff. */
@@ -337,7 +337,7 @@
         fail(request);
         return;
       }
-      Head head = Head.of(200, answer(request.node, request.isHeard()));
+      FakeResponseHead head = FakeResponseHead.of(200, answer(request.node, request.isHeard()));
       request.tell(() -> request.listener.head(head));
       arrivals.answered(request.node, nowMillis());
       if (request.crashes()) {
@@ -349,7 +349,7 @@
     private void fail(Running request) {
       running.remove(request);
       request.sent.end(SendRecord.End.ENGINE_FAILED);
-      request.tell(() -> request.listener.head(Head.of(FAILURE)));
+      request.tell(() -> request.listener.head(FakeResponseHead.of(FAILURE)));
       request.tell(request.listener::end);
     }
 
@@ -484,17 +484,17 @@
   record Arrival(int node, long atMillis) {}
 
   /** A request at an engine. */
-  private final class Running implements EndpointCalls.EndpointCall {
+  private final class Running implements EndpointTransport.EndpointCall {
     private final int node;
     private final Node run;
     private final Attempt attempt;
-    private final EndpointCalls.Listener listener;
+    private final EndpointTransport.Listener listener;
     private final SendRecord sent;
 
     /** The engines of its path after the first, as they were when it came there. */
     private ImmutableList<Engine> later = ImmutableList.of();
 
-    Running(int node, Node run, Attempt attempt, EndpointCalls.Listener listener) {
+    Running(int node, Node run, Attempt attempt, EndpointTransport.Listener listener) {
       this.node = node;
       this.run = run;
       this.attempt = attempt;
@@ -580,7 +580,7 @@
     }
 
     @Override
-    public Optional<Duration> patience() {
+    public Optional<Duration> callerTimeout() {
       return Optional.of(limit);
     }
 
@@ -688,7 +688,7 @@
 
     private void configure(EntryConfiguration next, ForwardingLimits bounds) {
       known = next;
-      forwarder.limits(bounds);
+      forwarder.updateLimits(bounds);
     }
 
     @Override
@@ -869,8 +869,8 @@
     return engines.get(HostPort.parse(item.value())).endpoint;
   }
 
-  private EndpointCalls.EndpointCall send(
-      int place, Node run, Attempt attempt, EndpointCalls.Listener listener) {
+  private EndpointTransport.EndpointCall send(
+      int place, Node run, Attempt attempt, EndpointTransport.Listener listener) {
     Running request = new Running(place, run, attempt, listener);
     Engine engine = engines.get(attempt.endpoint().address());
     if (nodes.get(place) == run) { // What a run that has ended still sends goes nowhere.
@@ -882,18 +882,19 @@
   }
 
   /** Asks a node. */
-  Got ask(int node, String body) {
-    Got got = new Got();
+  RecordedResponse ask(int node, String body) {
+    RecordedResponse got = new RecordedResponse();
     RequestSize needs = new RequestSize(800, 200);
     Asked request = new Asked("q" + asked++, "/letters/", body, Duration.ofSeconds(20), needs);
-    nodes.get(node % nodes.size()).forwarder.take(request, got);
+    nodes.get(node % nodes.size()).forwarder.forward(request, got);
     return got;
   }
 
   /** Sends a node a request; hands over what it is told of the caller from then on. */
-  void ask(int place, Asked request, CallerAnswer answer, Consumer<CallerAnswer.Flow> onTaken) {
+  void ask(
+      int place, Asked request, CallerResponse answer, Consumer<CallerResponse.Listener> onTaken) {
     Node node = nodes.get(place);
-    node.clock.arrive(() -> onTaken.accept(node.forwarder.take(request, answer)));
+    node.clock.arrive(() -> onTaken.accept(node.forwarder.forward(request, answer)));
   }
 
   /** Does something at a node, or as soon as it goes on. */
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreReturnTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreReturnTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.vaneworks.tests.forwarding.Got;
+import org.vaneworks.tests.forwarding.RecordedResponse;
 
 /** Checks that callers see nothing of a store that comes back from an older copy. */
 final class StoreReturnTest {
@@ -14,7 +14,7 @@
   private static final int ENGINES = 5;
   private static final int PAUSE_MILLIS = 40;
 
-  private final List<Got> answers = new ArrayList<>();
+  private final List<RecordedResponse> answers = new ArrayList<>();
 
   private void ask(SharedEngines fleet, int millis) {
     for (int passed = 0; passed < millis; passed += PAUSE_MILLIS) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SuspendedBoxTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SuspendedBoxTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 import org.vaneworks.state.Reason;
-import org.vaneworks.tests.forwarding.Got;
+import org.vaneworks.tests.forwarding.RecordedResponse;
 
 /**
  * Checks what a node takes after its box was suspended.
@@ -16,8 +16,8 @@
 final class SuspendedBoxTest {
   private final SharedEngines fleet = new SharedEngines(1, 3, 5);
 
-  private Got askAndWait() {
-    Got got = fleet.ask(0, "letter");
+  private RecordedResponse askAndWait() {
+    RecordedResponse got = fleet.ask(0, "letter");
     fleet.advance(2000);
     return got;
   }
@@ -25,7 +25,7 @@
   @Test
   void requestRightAfterASuspensionIsNotTakenByWhatWasConfirmedBefore() {
     fleet.timeOfDayMoves(0, 6000);
-    Got got = askAndWait();
+    RecordedResponse got = askAndWait();
     assertEquals(Reason.CONFIGURATION_STALE, got.refusal.get().reason());
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
@@ -21,7 +21,7 @@
 final class ForwarderTest {
   private final ForwardingFixture node = new ForwardingFixture();
 
-  private static Reason reason(Got got) {
+  private static Reason reason(RecordedResponse got) {
     return got.refusal.get().reason();
   }
 
@@ -39,7 +39,7 @@
   void staleConfigurationServesNobody() {
     node.replica(1);
     node.advance(4800);
-    Got got = node.ask("/safe/x");
+    RecordedResponse got = node.ask("/safe/x");
     assertEquals(Reason.CONFIGURATION_STALE, reason(got));
     assertTrue(got.refusal.get().retryAfter().isPresent());
   }
@@ -47,7 +47,7 @@
   @Test
   void limitsThatChangedHoldForTheNextRequest() {
     node.replica(1);
-    node.forwarder.limits(new ForwardingLimits(Duration.ofSeconds(1), 0.2, 100));
+    node.forwarder.updateLimits(new ForwardingLimits(Duration.ofSeconds(1), 0.2, 100));
     node.advance(1500);
     assertEquals(Reason.CONFIGURATION_STALE, reason(node.ask("/safe/x")));
   }
@@ -56,7 +56,7 @@
   void requestBeforeTheFirstConfigurationWaitsForIt() {
     node.replica(1);
     node.configuration = Optional.empty();
-    Got got = node.ask("/safe/x");
+    RecordedResponse got = node.ask("/safe/x");
     node.configuration = Optional.of(ForwardingFixture.configuration());
     node.advance(50);
     assertEquals(1, node.sent.size());
@@ -66,7 +66,7 @@
   @Test
   void requestIsRefusedIfNoConfigurationComes() {
     node.configuration = Optional.empty();
-    Got got = node.ask("/safe/x");
+    RecordedResponse got = node.ask("/safe/x");
     node.advance(500);
     assertEquals(Reason.NOT_READY, reason(got));
   }
@@ -74,7 +74,7 @@
   @Test
   void answerIsPassedOnWhole() {
     node.replica(1);
-    Got got = node.ask("/safe/x");
+    RecordedResponse got = node.ask("/safe/x");
     node.last().head(200);
     node.last().text("body");
     node.last().listener.end();
@@ -93,7 +93,7 @@
   void safeRequestGoesToAnotherReplicaAfterAnError() {
     node.replica(1);
     node.replica(2);
-    Got got = node.ask("/safe/x");
+    RecordedResponse got = node.ask("/safe/x");
     node.last().head(500);
     assertEquals(2, node.sent.size());
     assertFalse(node.sent.get(0).attempt.endpoint().equals(node.last().attempt.endpoint()));
@@ -105,7 +105,7 @@
   void secondErrorOfASafeRequestIsPassedOn() {
     node.replica(1);
     node.replica(2);
-    Got got = node.ask("/safe/x");
+    RecordedResponse got = node.ask("/safe/x");
     node.last().head(500);
     node.last().head(500);
     assertEquals(Optional.of(500), got.status);
@@ -115,7 +115,7 @@
   void unsafeRequestIsNeverSentAgainAfterALostConnection() {
     node.replica(1);
     node.replica(2);
-    Got got = node.ask("/unsafe/x");
+    RecordedResponse got = node.ask("/unsafe/x");
     node.last().listener.failed(false, new IllegalStateException("reset"));
     assertEquals(1, node.sent.size());
     assertEquals(Verdict.MAY_HAVE_RUN, got.refusal.get().verdict());
@@ -126,7 +126,7 @@
   void unsafeRequestThatWasNotRunGoesToAnotherReplica() {
     node.replica(1);
     node.replica(2);
-    Got got = node.ask("/unsafe/x");
+    RecordedResponse got = node.ask("/unsafe/x");
     node.last().notRun(503, Optional.empty());
     assertEquals(2, node.sent.size());
     node.last().head(200);
@@ -136,10 +136,10 @@
   @Test
   void answerToAnotherRequestNeverReachesTheCaller() {
     node.replica(1);
-    Got got = node.ask("/unsafe/x");
+    RecordedResponse got = node.ask("/unsafe/x");
     node.last()
         .listener
-        .head(new Head(200, false, false, Optional.empty(), EndpointStatement.NONE));
+        .head(new FakeResponseHead(200, false, false, Optional.empty(), EndpointStatement.NONE));
     assertTrue(node.last().cancelled);
     assertTrue(got.status.isEmpty());
     assertEquals(Verdict.MAY_HAVE_RUN, got.refusal.get().verdict());
@@ -148,7 +148,7 @@
   @Test
   void timeLimitOfTheRouteEndsTheRequest() {
     node.replica(1);
-    Got got = node.ask("/unsafe/x");
+    RecordedResponse got = node.ask("/unsafe/x");
     node.advance(800);
     assertEquals(Reason.DEADLINE, reason(got));
     assertTrue(node.last().cancelled);
@@ -157,8 +157,8 @@
   @Test
   void callerThatLeftIsCancelledAtTheEndpoint() {
     node.replica(1);
-    Got got = node.ask("/unsafe/x");
-    got.flow.gone();
+    RecordedResponse got = node.ask("/unsafe/x");
+    got.flow.disconnected();
     assertTrue(node.last().cancelled);
     assertEquals(0, node.forwarder.inFlight());
   }
@@ -166,7 +166,7 @@
   @Test
   void slowReaderPausesTheEndpoint() {
     node.replica(1);
-    Got got = node.ask("/safe/x");
+    RecordedResponse got = node.ask("/safe/x");
     got.keepsUp = false;
     node.last().head(200);
     node.last().text("part");
@@ -177,7 +177,7 @@
 
   @Test
   void requestThatNoEndpointCanRunIsRefusedAtOnceAndNotRun() {
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     assertEquals(Reason.NO_ENDPOINT, reason(got));
     assertEquals(Verdict.NOT_RUN, got.refusal.get().verdict());
     assertTrue(got.refusal.get().retryAfter().isPresent());
@@ -186,7 +186,7 @@
   @Test
   void requestForAFullFleetWaitsAndIsServedWhenRoomComesFree() {
     fullEngines();
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     node.advance(300);
     assertTrue(node.sent.isEmpty());
     assertFalse(got.refusal.isPresent());
@@ -198,7 +198,7 @@
   @Test
   void requestThatFindsNoRoomIsRefusedBeforeItsCallerLeaves() {
     fullEngines();
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     node.advance(2000);
     assertEquals(Reason.NO_ENDPOINT, reason(got));
     assertEquals(Verdict.NOT_RUN, got.refusal.get().verdict());
@@ -207,7 +207,7 @@
   @Test
   void requestBehindMoreThanCanBeStartedInTimeIsRefusedAtOnce() {
     fullEngines();
-    Got last = null;
+    RecordedResponse last = null;
     for (int i = 0; i < 10; i++) {
       last = node.ask("/stream/x");
     }
@@ -222,7 +222,7 @@
     for (int i = 0; i < 5; i++) {
       node.ask("/stream/x");
     }
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     Duration comeBack = got.refusal.get().retryAfter().get();
     assertTrue(comeBack.toMillis() >= 1400, "come back after " + comeBack);
   }
@@ -241,8 +241,8 @@
   @Test
   void callerThatLeftWaitsNoLonger() {
     fullEngines();
-    Got got = node.ask("/stream/x");
-    got.flow.gone();
+    RecordedResponse got = node.ask("/stream/x");
+    got.flow.disconnected();
     emptyEngines();
     node.advance(100);
     assertTrue(node.sent.isEmpty());
@@ -274,7 +274,7 @@
   void brokenStreamGoesOnAfterItsLastWholeEvent() {
     node.engine(1, 0, 80);
     node.engine(2, 0, 80);
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     SentAttempt first = node.last();
     first.head(200);
     first.event(1);
@@ -293,7 +293,7 @@
   void streamThatRunsOnceIsCutAndDoesNotLookWhole() {
     node.engine(1, 0, 80);
     node.engine(2, 0, 80);
-    Got got = node.ask("/once/x");
+    RecordedResponse got = node.ask("/once/x");
     node.last().head(200);
     node.last().event(1);
     node.last().listener.failed(false, new IllegalStateException("reset"));
@@ -307,7 +307,7 @@
     node.engine(1, 0, 40);
     FleetEndpoint second = node.engine(2, 40, 80);
     FleetEndpoint third = node.engine(3, 40, 80);
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     String before = node.last().attempt.path().get();
     FleetEndpoint used = before.contains("10.0.0.2") ? second : third;
     node.last().head(200);
@@ -322,7 +322,7 @@
   @Test
   void streamResumesElsewhereWhenItsFirstEngineDies() {
     FleetEndpoint first = node.engine(1, 0, 80);
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     node.last().head(200);
     node.last().event(1);
     node.engine(2, 0, 80);
@@ -434,7 +434,7 @@
   void streamOnALeavingEngineIsNotBrokenOffWhenNoOtherPathIsAccepted() {
     node.engine(1, 0, 40);
     FleetEndpoint second = node.engine(2, 40, 80);
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     node.last().head(200);
     node.last().event(1);
     node.engine(3, 40, 80);
@@ -452,7 +452,7 @@
   @Test
   void brokenStreamWaitsForAPlaceBeforeItIsCut() {
     FleetEndpoint first = node.engine(1, 0, 80);
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     node.last().head(200);
     node.last().event(1);
     node.fleet.remove(first.id());
@@ -479,7 +479,7 @@
   @Test
   void streamWhoseFirstEngineCrashedGoesOnAtAnotherBeforeTheCrashIsKnown() {
     FleetEndpoint crashed = node.engine(1, 0, 80);
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     node.last().head(200);
     node.last().event(1);
     FleetEndpoint other = node.engine(2, 0, 80);
@@ -500,7 +500,7 @@
   @Test
   void streamGoesOnAtTheSameEngineIfThereIsNoOther() {
     FleetEndpoint only = node.engine(1, 0, 80);
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     node.last().head(200);
     node.last().event(1);
 
@@ -542,7 +542,7 @@
     for (int number = 1; number <= 3; number++) {
       node.engine(number, 0, 80);
     }
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     for (int dead = 1; dead <= 3; dead++) {
       node.last().arrived = false;
       HostPort address = node.last().attempt.endpoint().address();
@@ -556,7 +556,7 @@
   @Test
   void requestThatHadNoConnectionAtItsTimeLimitHasNotRun() {
     node.replica(1);
-    Got got = node.ask("/unsafe/x");
+    RecordedResponse got = node.ask("/unsafe/x");
     node.last().arrived = false;
     node.advance(800);
     assertEquals(Reason.NOT_STARTED_IN_TIME, reason(got));
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
@@ -29,7 +29,7 @@
   }
 
   private void turnAway(Duration length) {
-    node.last().listener.head(Head.turnedAway(StatedBackoff.of(length)));
+    node.last().listener.head(FakeResponseHead.rejected(StatedBackoff.of(length)));
   }
 
   private void askForSeconds(int seconds) {
@@ -63,7 +63,7 @@
   void requestWaitsForTheEndOfATimeThatItsCallerHas() {
     FleetEndpoint only = node.replica(1);
     wantsNoCalls(only, Duration.ofMillis(300));
-    Got got = node.ask("/safe/x");
+    RecordedResponse got = node.ask("/safe/x");
     node.advance(350);
     assertEquals(1, sentTo(only));
     assertFalse(got.refusal.isPresent());
@@ -72,7 +72,7 @@
   @Test
   void requestIsRefusedAtOnceIfTheTimeIsLongerThanItsCallerHas() {
     wantsNoCalls(node.replica(1), BACKOFF);
-    Got got = node.ask("/safe/x");
+    RecordedResponse got = node.ask("/safe/x");
     assertEquals(Reason.NO_ENDPOINT, got.refusal.orElseThrow().reason());
     assertEquals(Verdict.NOT_RUN, got.refusal.get().verdict());
     assertEquals(0, node.sent.size());
@@ -126,7 +126,7 @@
   void timeThatCannotBeReadHoldsNothingBackForLong() {
     FleetEndpoint only = node.replica(1);
     node.ask("/safe/x");
-    node.last().listener.head(Head.turnedAway(StatedBackoff.unreadable()));
+    node.last().listener.head(FakeResponseHead.rejected(StatedBackoff.unreadable()));
     node.advance(250);
     node.ask("/safe/x");
     assertTrue(sentTo(only) >= 2);
@@ -137,7 +137,7 @@
     FleetEndpoint only = node.replica(1);
     node.ask("/safe/x");
     EndpointStatement said = EndpointStatement.NONE.withBackoff(StatedBackoff.of(BACKOFF));
-    node.last().listener.head(new Head(421, true, true, Optional.empty(), said));
+    node.last().listener.head(new FakeResponseHead(421, true, true, Optional.empty(), said));
     node.advance(900);
     node.ask("/safe/x");
     assertTrue(sentTo(only) >= 2);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
@@ -24,7 +24,7 @@
 import org.vaneworks.coordination.fleet.RepathOutcome;
 import org.vaneworks.coordination.forwarding.Attempt;
 import org.vaneworks.coordination.forwarding.CallerRequest;
-import org.vaneworks.coordination.forwarding.EndpointCalls;
+import org.vaneworks.coordination.forwarding.EndpointTransport;
 import org.vaneworks.coordination.forwarding.Forwarder;
 import org.vaneworks.coordination.forwarding.ForwardingLimits;
 import org.vaneworks.coordination.quarantine.SharedQuarantine;
@@ -56,15 +56,15 @@
   static final Incarnation FIRST_START = Incarnation.startedAt(1000);
 
   /** An attempt that a test answers. */
-  static final class SentAttempt implements EndpointCalls.EndpointCall {
+  static final class SentAttempt implements EndpointTransport.EndpointCall {
     final Attempt attempt;
-    final EndpointCalls.Listener listener;
+    final EndpointTransport.Listener listener;
     boolean arrived = true;
     boolean cancelled;
     boolean discarded;
     boolean paused;
 
-    SentAttempt(Attempt attempt, EndpointCalls.Listener listener) {
+    SentAttempt(Attempt attempt, EndpointTransport.Listener listener) {
       this.attempt = attempt;
       this.listener = listener;
     }
@@ -95,11 +95,11 @@
     }
 
     void head(int status) {
-      listener.head(Head.of(status));
+      listener.head(FakeResponseHead.of(status));
     }
 
     void notRun(int status, Optional<HostPort> obstacle) {
-      listener.head(new Head(status, true, true, obstacle, EndpointStatement.NONE));
+      listener.head(new FakeResponseHead(status, true, true, obstacle, EndpointStatement.NONE));
     }
 
     void event(int id) {
@@ -114,7 +114,7 @@
   record Asked(String id, String host, String path, Optional<String> key, Duration limit)
       implements CallerRequest {
     @Override
-    public Optional<Duration> patience() {
+    public Optional<Duration> callerTimeout() {
       return Optional.of(limit);
     }
 
@@ -311,14 +311,14 @@
     return replica;
   }
 
-  Got ask(String path) {
+  RecordedResponse ask(String path) {
     return ask(path, Optional.of(KEY));
   }
 
-  Got ask(String path, Optional<String> key) {
-    Got got = new Got();
+  RecordedResponse ask(String path, Optional<String> key) {
+    RecordedResponse got = new RecordedResponse();
     Asked asked = new Asked("q" + sent.size(), "host.example", path, key, Duration.ofSeconds(20));
-    got.flow = forwarder.take(asked, got);
+    got.flow = forwarder.forward(asked, got);
     return got;
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/PathCrashTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/PathCrashTest.java
@@ -50,7 +50,7 @@
     end(lost[0]);
     delist(lost);
     path(4);
-    Got again = node.ask("/stream/x");
+    RecordedResponse again = node.ask("/stream/x");
     assertEquals(Optional.empty(), again.refusal);
   }
 
@@ -76,7 +76,7 @@
   @Test
   void requestThatRunsAsItIsHeldBackIsNotGivenAnotherPathWhenAnEngineLeaves() {
     FleetEndpoint[] running = path(20);
-    Got got = node.ask("/once/x");
+    RecordedResponse got = node.ask("/once/x");
     SentAttempt attempt = node.last();
     attempt.head(200);
     attempt.event(1);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/PlainCrashTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/PlainCrashTest.java
@@ -14,9 +14,9 @@
   private final ForwardingFixture node = new ForwardingFixture();
 
   /** Asks a replica that ends when it begins the request, and leaves the list. */
-  private Got askAndCrash(int number) {
+  private RecordedResponse askAndCrash(int number) {
     node.replica(number);
-    Got got = node.ask("/unsafe/x");
+    RecordedResponse got = node.ask("/unsafe/x");
     node.last().listener.failed(false, new ClosedChannelException());
     node.fleet.remove("r" + number);
     return got;
@@ -28,7 +28,7 @@
       assertEquals(Verdict.MAY_HAVE_RUN, askAndCrash(number).refusal.get().verdict());
     }
     node.replica(4);
-    Got got = node.ask("/unsafe/x");
+    RecordedResponse got = node.ask("/unsafe/x");
     assertEquals(3, node.sent.size());
     assertEquals(Reason.QUARANTINED, got.refusal.get().reason());
     assertEquals(Verdict.NOT_RUN, got.refusal.get().verdict());
@@ -40,7 +40,7 @@
       askAndCrash(number);
     }
     node.replica(4);
-    Got got = node.ask("/unsafe/y");
+    RecordedResponse got = node.ask("/unsafe/y");
     node.last().head(200);
     node.last().listener.end();
     assertEquals(Optional.of(200), got.status);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/Got.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RecordedResponse.java
@@ -3,22 +3,22 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import java.util.Optional;
-import org.vaneworks.coordination.forwarding.AnswerHead;
-import org.vaneworks.coordination.forwarding.CallerAnswer;
+import org.vaneworks.coordination.forwarding.CallerResponse;
+import org.vaneworks.coordination.forwarding.ResponseHead;
 import org.vaneworks.state.Refusal;
 
 /** What a caller got. */
-public final class Got implements CallerAnswer {
+public final class RecordedResponse implements CallerResponse {
   public Optional<Integer> status = Optional.empty();
   public Optional<Refusal> refusal = Optional.empty();
   public String body = "";
   public boolean whole;
   public boolean cut;
   public boolean keepsUp = true;
-  Flow flow;
+  CallerResponse.Listener flow;
 
   @Override
-  public void head(AnswerHead head) {
+  public void head(ResponseHead head) {
     status = Optional.of(head.status());
   }
 
@@ -34,7 +34,7 @@
   }
 
   @Override
-  public void cut() {
+  public void abort() {
     cut = true;
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RestartedEndpointTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RestartedEndpointTest.java
@@ -17,7 +17,7 @@
   @Test
   void streamGoesOnElsewhereOnceWhenItsFirstEngineStartsAgain() {
     FleetEndpoint first = node.engine(1, 0, 80);
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     node.last().head(200);
     node.last().event(1);
     node.engine(2, 0, 80);
@@ -49,7 +49,7 @@
   @Test
   void unsafeRequestEndsAtOnceAsOneThatMayHaveRun() {
     FleetEndpoint replica = node.replica(1);
-    Got got = node.ask("/unsafe/x");
+    RecordedResponse got = node.ask("/unsafe/x");
     node.startsAgain(replica);
     assertEquals(1, node.sent.size());
     assertEquals(Verdict.MAY_HAVE_RUN, got.refusal.get().verdict());
@@ -58,7 +58,7 @@
   @Test
   void safeRequestIsSentToAnotherReplica() {
     FleetEndpoint one = node.replica(1);
-    Got got = node.ask("/safe/x");
+    RecordedResponse got = node.ask("/safe/x");
     node.replica(2);
     node.startsAgain(one);
     assertEquals(2, node.sent.size());
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RunningAnswerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RunningAnswerTest.java
@@ -18,7 +18,7 @@
 final class RunningAnswerTest {
   private final ForwardingFixture node = new ForwardingFixture();
   private FleetEndpoint engine;
-  private Got got;
+  private RecordedResponse got;
   private SentAttempt running;
 
   /** Begins a stream at an engine that falls silent after the first event. */
@@ -228,7 +228,7 @@
   void callerThatLeavesIsCancelledAtBothEngines() {
     node.engine(2, 0, 80);
     node.advance(600);
-    got.flow.gone();
+    got.flow.disconnected();
     assertTrue(running.cancelled);
     assertTrue(node.last().cancelled);
     assertNothingIsReserved();
@@ -238,7 +238,7 @@
   @Test
   void callerWithoutAnAnswerIsToldAtOnceThatItsEngineIsLost() {
     spendBudget();
-    Got unanswered = node.ask("/stream/y");
+    RecordedResponse unanswered = node.ask("/stream/y");
     node.advance(600);
     assertEquals(Verdict.MAY_HAVE_RUN, unanswered.refusal.orElseThrow().verdict());
     assertTrue(node.last().cancelled);
@@ -261,11 +261,11 @@
   }
 
   private void spendBudget() {
-    node.forwarder.limits(new ForwardingLimits(Duration.ofMillis(4750), 0, 0));
+    node.forwarder.updateLimits(new ForwardingLimits(Duration.ofMillis(4750), 0, 0));
   }
 
   private void earnBudget() {
-    node.forwarder.limits(new ForwardingLimits(Duration.ofMillis(4750), 0.2, 100));
+    node.forwarder.updateLimits(new ForwardingLimits(Duration.ofMillis(4750), 0.2, 100));
   }
 
   private void engineGoesOn() {
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/SearchElsewhereTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/SearchElsewhereTest.java
@@ -25,7 +25,8 @@
 
   private void budget(double reserve) {
     // RESERVE_IN_USE is 0.6.
-    node.forwarder.limits(new ForwardingLimits(Duration.ofMillis(4750), 0, reserve / 0.6 + 0.01));
+    node.forwarder.updateLimits(
+        new ForwardingLimits(Duration.ofMillis(4750), 0, reserve / 0.6 + 0.01));
   }
 
   private void avoid(FleetEndpoint engine) {
@@ -102,7 +103,7 @@
   @Test
   void requestIsNotRefusedWhoseEngineAnsweredWhileItWaitedForAnother() {
     FleetEndpoint engine = node.engine(1, 0, 80);
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     SentAttempt running = node.last();
     otherEnginesAreFull();
     node.control.dead.add(engine.address());
@@ -122,7 +123,7 @@
   @Test
   void requestThatMustNotRunTwiceStaysOnceItHasArrived() {
     FleetEndpoint engine = node.engine(1, 0, 80);
-    Got got = node.ask("/once/x");
+    RecordedResponse got = node.ask("/once/x");
     SentAttempt running = node.last();
     running.arrived = false;
     otherEnginesAreFull();
@@ -140,7 +141,7 @@
   @Test
   void requestThatMustNotRunTwiceStaysIfItHadArrivedBefore() {
     FleetEndpoint engine = node.engine(1, 0, 80);
-    Got got = node.ask("/once/x");
+    RecordedResponse got = node.ask("/once/x");
     SentAttempt running = node.last();
     otherEnginesAreFull();
     node.control.dead.add(engine.address());
@@ -182,7 +183,7 @@
   private void assertSentAgainOnceThereIsBudget(boolean lateEvent) {
     node.engine(5, 0, 40);
     FleetEndpoint later = node.engine(6, 40, 80);
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     SentAttempt running = node.last();
     running.head(200);
     running.event(1);
@@ -207,7 +208,7 @@
   void streamThatStaysTakesAnotherPathOnceItsLaterEngineHasEnded() {
     node.engine(5, 0, 40);
     FleetEndpoint later = node.engine(6, 40, 80);
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     SentAttempt running = node.last();
     running.head(200);
     running.event(1);
@@ -250,7 +251,7 @@
     engines.forEach(node::startsAgain);
     node.engine(9, 0, 80);
     int before = node.sent.size();
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     assertEquals(Optional.empty(), got.refusal);
     assertEquals(before + 1, node.sent.size());
   }
@@ -287,19 +288,19 @@
     node.engine(5, 0, 40);
     FleetEndpoint later = node.engine(6, 40, 80);
     for (int run = 1; run <= 2; run++) {
-      Got former = node.ask("/stream/x");
+      RecordedResponse former = node.ask("/stream/x");
       node.last().head(200);
       node.startsAgain(later);
-      former.flow.gone();
+      former.flow.disconnected();
       later = node.engine(6, 40, 80, Incarnation.startedAt(10_000L * run));
     }
-    Got got = node.ask("/stream/x");
+    RecordedResponse got = node.ask("/stream/x");
     SentAttempt running = node.last();
     running.head(200);
     running.event(1);
     node.startsAgain(later);
     node.engine(6, 40, 80, Incarnation.startedAt(90_000));
-    Got next = node.ask("/stream/x");
+    RecordedResponse next = node.ask("/stream/x");
     assertTrue(next.refusal.toString().contains("quarantined"), next.refusal.toString());
     // An unanswered order may have changed its path: only the first engine knows.
     node.advance(3000);
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/CallerClosesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/CallerClosesTest.java
@@ -118,7 +118,7 @@
   void answerThatIsCut() throws Exception {
     try (Socket caller = node.connect()) {
       EntryFixture.Taken taken = beginAnswer(caller);
-      node.onLoop(taken.answer::cut);
+      node.onLoop(taken.answer::abort);
       readToEnd(caller);
     }
     assertCountedAs(CloseReason.CUT);
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EndpointConnectionsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EndpointConnectionsTest.java
@@ -25,10 +25,10 @@
 import org.junit.jupiter.api.Test;
 import org.vaneworks.coordination.fleet.FleetEndpoint;
 import org.vaneworks.coordination.fleet.NobodyListensException;
-import org.vaneworks.coordination.forwarding.AnswerHead;
 import org.vaneworks.coordination.forwarding.Attempt;
-import org.vaneworks.coordination.forwarding.EndpointCalls.EndpointCall;
-import org.vaneworks.coordination.forwarding.EndpointCalls.Listener;
+import org.vaneworks.coordination.forwarding.EndpointTransport.EndpointCall;
+import org.vaneworks.coordination.forwarding.EndpointTransport.Listener;
+import org.vaneworks.coordination.forwarding.ResponseHead;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.StorePosition;
 
@@ -117,7 +117,7 @@
     private volatile Throwable cause;
 
     @Override
-    public void head(AnswerHead head) {}
+    public void head(ResponseHead head) {}
 
     @Override
     public void data(byte[] bytes) {}
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryAnswerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryAnswerTest.java
@@ -11,7 +11,7 @@
 import io.servicetalk.http.api.HttpProtocolVersion;
 import io.servicetalk.http.api.StreamingHttpResponse;
 import org.junit.jupiter.api.Test;
-import org.vaneworks.coordination.forwarding.CallerAnswer;
+import org.vaneworks.coordination.forwarding.CallerResponse;
 
 /** Checks what an answer's connection is told. */
 final class EntryAnswerTest {
@@ -41,14 +41,14 @@
     public void isCut() {}
   }
 
-  private static final class Flow implements CallerAnswer.Flow {
+  private static final class Flow implements CallerResponse.Listener {
     private int gone;
 
     @Override
     public void drained() {}
 
     @Override
-    public void gone() {
+    public void disconnected() {
       gone++;
     }
   }
@@ -68,7 +68,7 @@
     assertTrue(answer.isPassedOn());
     answer.callerGone();
     answer.end();
-    answer.cut();
+    answer.abort();
     assertEquals(1, flow.gone);
     assertEquals(1, connection.ends);
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryFixture.java
@@ -23,8 +23,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.vaneworks.coordination.forwarding.CallerAnswer;
 import org.vaneworks.coordination.forwarding.CallerRequest;
+import org.vaneworks.coordination.forwarding.CallerResponse;
 import org.vaneworks.state.EndpointStatement;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.entry.EntryLimits;
@@ -41,12 +41,12 @@
   private static final int RECEIVE_BYTES = 4096;
 
   /** What a test knows of one request. */
-  static final class Taken implements CallerAnswer.Flow {
-    final CallerAnswer answer;
+  static final class Taken implements CallerResponse.Listener {
+    final CallerResponse answer;
     private final CountDownLatch left = new CountDownLatch(1);
     private final AtomicInteger gone = new AtomicInteger();
 
-    Taken(CallerAnswer answer) {
+    Taken(CallerResponse answer) {
       this.answer = answer;
     }
 
@@ -54,7 +54,7 @@
     public void drained() {}
 
     @Override
-    public void gone() {
+    public void disconnected() {
       gone.incrementAndGet();
       left.countDown();
     }
@@ -111,7 +111,7 @@
     closing = true;
   }
 
-  private CallerAnswer.Flow take(CallerRequest request, CallerAnswer answer) {
+  private CallerResponse.Listener take(CallerRequest request, CallerResponse answer) {
     Taken next = new Taken(answer);
     taken.add(next);
     return next;
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/ForgottenEndpointTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/ForgottenEndpointTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.vaneworks.coordination.forwarding.AnswerHead;
-import org.vaneworks.coordination.forwarding.EndpointCalls.Listener;
+import org.vaneworks.coordination.forwarding.EndpointTransport.Listener;
+import org.vaneworks.coordination.forwarding.ResponseHead;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.transport.HttpSender;
 
@@ -57,7 +57,7 @@
     private final StringBuilder text = new StringBuilder();
 
     @Override
-    public void head(AnswerHead head) {
+    public void head(ResponseHead head) {
       began.complete(null);
     }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerRequest.java
@@ -20,7 +20,7 @@
   Optional<String> key();
 
   /** Returns how long the caller waits. */
-  Optional<Duration> patience();
+  Optional<Duration> callerTimeout();
 
   /** Returns how large it is expected to be, where it says so. */
   Optional<RequestSize> size();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointCalls.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointTransport.java
@@ -1,7 +1,7 @@
 package org.vaneworks.coordination.forwarding;
 
 /** Sends requests to endpoints, each attempt at most once. */
-public interface EndpointCalls {
+public interface EndpointTransport {
   /**
    * Sends an attempt.
    *
@@ -33,7 +33,7 @@
   /** Is told what becomes of an attempt. Nothing follows {@link #end} or {@link #failed}. */
   interface Listener {
     /** Takes the head of the answer. */
-    void head(AnswerHead head);
+    void head(ResponseHead head);
 
     /** Takes a part of the body. */
     void data(byte[] bytes);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardContext.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardContext.java
@@ -34,7 +34,7 @@
     PathPlanner planner,
     HealthWatch health,
     EngineControl control,
-    EndpointCalls calls,
+    EndpointTransport calls,
     WaitingLines lines,
     ResendBudget budget,
     Quarantine quarantine,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardRun.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardRun.java
@@ -27,7 +27,7 @@
  * <p>At any time at most one attempt counts; what an earlier one still says is ignored. Confined to
  * the node's event loop.
  */
-final class ForwardRun implements CallerAnswer.Flow {
+final class ForwardRun implements CallerResponse.Listener {
   /** A plain endpoint whose connection failed gets nothing new for a moment. */
   private static final Duration FAILED_PAUSE = Duration.ofMillis(500);
 
@@ -47,7 +47,7 @@
   private final EntryRoute route;
   private final Optional<Caller> caller;
   private final CallerRequest request;
-  private final CallerAnswer answer;
+  private final CallerResponse answer;
   private final Consumer<ForwardRun> onDone;
   private final String service;
   private final Place place;
@@ -85,7 +85,7 @@
       EntryRoute route,
       Optional<Caller> caller,
       CallerRequest request,
-      CallerAnswer answer,
+      CallerResponse answer,
       Consumer<ForwardRun> onDone) {
     this.context = context;
     this.route = route;
@@ -106,7 +106,7 @@
     this.search = new ElsewhereSearch(context.clock(), new Leaving());
     this.repairs = new PathRepairs(context, request, place, guard, new Repaired());
     this.startedAt = now();
-    this.patience = CallerPatience.of(route, request.patience(), startedAt);
+    this.patience = CallerPatience.of(route, request.callerTimeout(), startedAt);
     this.endsAt = patience.endsAt();
     this.times = new AnswerTimes(context.counters(), route.kind().streamed(), startedAt);
   }
@@ -117,7 +117,7 @@
       EntryRoute route,
       Optional<Caller> caller,
       CallerRequest request,
-      CallerAnswer answer,
+      CallerResponse answer,
       Consumer<ForwardRun> onDone) {
     return new ForwardRun(context, configuration, route, caller, request, answer, onDone);
   }
@@ -242,7 +242,7 @@
   }
 
   /** Hears of one attempt; ignores it once another attempt counts. */
-  private final class AttemptListener implements EndpointCalls.Listener {
+  private final class AttemptListener implements EndpointTransport.Listener {
     private final RunningAttempt running;
 
     AttemptListener(RunningAttempt running) {
@@ -258,7 +258,7 @@
     }
 
     @Override
-    public void head(AnswerHead head) {
+    public void head(ResponseHead head) {
       noteStatement(head, running.endpoint());
       if (counts()) {
         progress.head();
@@ -305,13 +305,13 @@
   }
 
   /** Takes what the endpoint says of itself, unless another may have answered in its place. */
-  private void noteStatement(AnswerHead head, TrackedEndpoint endpoint) {
+  private void noteStatement(ResponseHead head, TrackedEndpoint endpoint) {
     if (head.matches() && head.status() != MISDIRECTED) {
       context.fleet().statements().answered(endpoint, head.statement());
     }
   }
 
-  private void head(AnswerHead head, RunningAttempt running) {
+  private void head(ResponseHead head, RunningAttempt running) {
     if (!head.matches()) {
       running.cancel();
       attemptOver(Verdict.MAY_HAVE_RUN, AttemptEnd.FOREIGN_ANSWER, "an answer to another request");
@@ -330,7 +330,7 @@
     }
   }
 
-  private void serverError(AnswerHead head, RunningAttempt running) {
+  private void serverError(ResponseHead head, RunningAttempt running) {
     boolean again = !headPassed && resendDenial(Verdict.RAN, runs + 1).isEmpty();
     if (again || headPassed) {
       running.discard();
@@ -342,7 +342,7 @@
   }
 
   /** The caller keeps the head of the first run; only events follow. */
-  private void resumed(AnswerHead head, RunningAttempt running) {
+  private void resumed(ResponseHead head, RunningAttempt running) {
     if (head.success()) {
       leaveFormer();
       return;
@@ -476,7 +476,7 @@
     if (headPassed) {
       close();
       ForwardLog.cut(request, lastEnd, denial, detail, trail(), context.counters());
-      answer.cut();
+      answer.abort();
       return;
     }
     Refusal refusal;
@@ -524,7 +524,7 @@
   }
 
   @Override
-  public void gone() {
+  public void disconnected() {
     if (done) {
       return;
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
@@ -87,7 +87,7 @@
       Fleet fleet,
       HealthWatch health,
       EngineControl control,
-      EndpointCalls calls,
+      EndpointTransport calls,
       SharedQuarantine quarantine,
       ForwardingLimits limits,
       Supplier<Optional<EntryConfiguration>> configuration,
@@ -114,13 +114,13 @@
   }
 
   /** Sets the bounds for requests from now on. */
-  public void limits(ForwardingLimits limits) {
+  public void updateLimits(ForwardingLimits limits) {
     keyFreshness = limits.keyFreshness();
     context.budget().limits(limits);
   }
 
   /** Takes a request whose body has been read; returns what is told of the caller from now on. */
-  public CallerAnswer.Flow take(CallerRequest request, CallerAnswer answer) {
+  public CallerResponse.Listener forward(CallerRequest request, CallerResponse answer) {
     if (configuration.get().isPresent()) {
       return admit(request, answer);
     }
@@ -130,7 +130,7 @@
   }
 
   private void waitForConfiguration(
-      CallerRequest request, CallerAnswer answer, HeldRequest held, long since) {
+      CallerRequest request, CallerResponse answer, HeldRequest held, long since) {
     if (held.isGone()) {
       return;
     }
@@ -145,12 +145,12 @@
         NANOSECONDS);
   }
 
-  private CallerAnswer.Flow admit(CallerRequest request, CallerAnswer answer) {
+  private CallerResponse.Listener admit(CallerRequest request, CallerResponse answer) {
     Optional<EntryConfiguration> known = configuration.get();
     if (known.isEmpty()) {
       return refuse(request, answer, Reason.NOT_READY, "no configuration has been read yet");
     }
-    if (!fresh()) {
+    if (!hasFreshConfiguration()) {
       return refuse(
           request, answer, Reason.CONFIGURATION_STALE, "the store has not confirmed it lately");
     }
@@ -191,7 +191,7 @@
   }
 
   /** Returns whether the configuration was confirmed lately enough to serve. */
-  public boolean fresh() {
+  public boolean hasFreshConfiguration() {
     return configuration.get().isPresent() && confirmedWithin.test(keyFreshness);
   }
 
@@ -201,12 +201,12 @@
   }
 
   /** Refuses new requests from now on; those in flight go on. */
-  public void refuseNew() {
+  public void refuseNewRequests() {
     stopping = true;
   }
 
-  private CallerAnswer.Flow refuse(
-      CallerRequest request, CallerAnswer answer, Reason reason, String detail) {
+  private CallerResponse.Listener refuse(
+      CallerRequest request, CallerResponse answer, Reason reason, String detail) {
     Refusal refusal = Refusal.before(reason, detail);
     if (reason.status() == 503) {
       refusal = refusal.withRetryAfter(COME_BACK_SOON);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Place.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Place.java
@@ -215,7 +215,7 @@
   }
 
   /** Leaves the endpoint alone that was in the way of a request, and returns it. */
-  TrackedEndpoint noteObstacle(AnswerHead refused) {
+  TrackedEndpoint noteObstacle(ResponseHead refused) {
     TrackedEndpoint obstacle = refused.obstacle().flatMap(this::engineAt).orElseGet(this::target);
     boolean misdirected = refused.status() == MISDIRECTED;
     Duration pause = misdirected ? MISPLACED_PAUSE : FULL_PAUSE;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/AnswerHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResponseHead.java
@@ -5,7 +5,7 @@
 import org.vaneworks.state.HostPort;
 
 /** The head of an endpoint's answer as decisions see it; its headers stay with the transport. */
-public interface AnswerHead {
+public interface ResponseHead {
   /** Returns the HTTP status. */
   int status();
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RunningAttempt.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RunningAttempt.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
-import org.vaneworks.coordination.forwarding.EndpointCalls.EndpointCall;
+import org.vaneworks.coordination.forwarding.EndpointTransport.EndpointCall;
 import org.vaneworks.state.Verdict;
 
 /**
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointAnswerHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointAnswerHead.java
@@ -2,7 +2,7 @@
 
 import io.servicetalk.http.api.HttpResponseMetaData;
 import java.util.Optional;
-import org.vaneworks.coordination.forwarding.AnswerHead;
+import org.vaneworks.coordination.forwarding.ResponseHead;
 import org.vaneworks.state.EndpointStatement;
 import org.vaneworks.state.HostPort;
 
@@ -21,7 +21,7 @@
     boolean matches,
     Optional<HostPort> obstacle,
     EndpointStatement statement)
-    implements AnswerHead {
+    implements ResponseHead {
   @Override
   public int status() {
     return response.status().code();
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointConnections.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointConnections.java
@@ -29,7 +29,7 @@
 import java.util.Optional;
 import org.vaneworks.coordination.fleet.NobodyListensException;
 import org.vaneworks.coordination.forwarding.Attempt;
-import org.vaneworks.coordination.forwarding.EndpointCalls;
+import org.vaneworks.coordination.forwarding.EndpointTransport;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.transport.CountedClient;
 import org.vaneworks.transport.SentState;
@@ -40,7 +40,7 @@
  *
  * <p>ServiceTalk's own retries are switched off. Confined to the node's event loop.
  */
-public final class EndpointConnections implements EndpointCalls {
+public final class EndpointConnections implements EndpointTransport {
   /** An endpoint of the same region accepts in a few ms; a lost packet is sent again after 200. */
   private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryAnswer.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryAnswer.java
@@ -11,13 +11,13 @@
 import io.servicetalk.http.api.StreamingHttpResponseFactory;
 import java.nio.channels.ClosedChannelException;
 import java.util.function.BooleanSupplier;
-import org.vaneworks.coordination.forwarding.AnswerHead;
-import org.vaneworks.coordination.forwarding.CallerAnswer;
+import org.vaneworks.coordination.forwarding.CallerResponse;
+import org.vaneworks.coordination.forwarding.ResponseHead;
 import org.vaneworks.state.Reason;
 import org.vaneworks.state.Refusal;
 
 /** The answer to one caller as a ServiceTalk response. Confined to the node's event loop. */
-final class EntryAnswer implements CallerAnswer, ConnectionAnswer {
+final class EntryAnswer implements CallerResponse, ConnectionAnswer {
   /** What the connection is told of an answer. */
   interface Connection {
     /** Takes note that an answer is complete, broken off, or its caller has left. */
@@ -36,7 +36,7 @@
   private final SingleSource.Processor<StreamingHttpResponse, StreamingHttpResponse> response =
       Processors.newSingleProcessor();
   private final AnswerBody body = new AnswerBody(() -> flow().drained(), this::callerGone);
-  private Flow flow;
+  private CallerResponse.Listener flow;
   private final Connection connection;
   private boolean headSent;
   private boolean over;
@@ -61,11 +61,11 @@
   }
 
   /** Names who is told what the caller does. */
-  void flow(Flow newFlow) {
+  void flow(CallerResponse.Listener newFlow) {
     flow = newFlow;
   }
 
-  private Flow flow() {
+  private CallerResponse.Listener flow() {
     return flow;
   }
 
@@ -90,7 +90,7 @@
       gone = true;
       over();
       if (flow != null) {
-        flow.gone();
+        flow.disconnected();
       }
     }
   }
@@ -117,7 +117,7 @@
   }
 
   @Override
-  public void head(AnswerHead head) {
+  public void head(ResponseHead head) {
     var source = ((EndpointAnswerHead) head).response();
     StreamingHttpResponse answer = factory.newResponse(source.status());
     answer.headers().set(source.headers());
@@ -147,7 +147,7 @@
   }
 
   @Override
-  public void cut() {
+  public void abort() {
     connection.isCut();
     body.fail(new ClosedChannelException());
     over();
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryRequest.java
@@ -56,7 +56,7 @@
   }
 
   @Override
-  public Optional<Duration> patience() {
+  public Optional<Duration> callerTimeout() {
     return dialect.patience(head.headers());
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryServer.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryServer.java
@@ -26,8 +26,8 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import org.vaneworks.coordination.forwarding.CallerAnswer;
 import org.vaneworks.coordination.forwarding.CallerRequest;
+import org.vaneworks.coordination.forwarding.CallerResponse;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.Reason;
 import org.vaneworks.state.entry.EntryLimits;
@@ -39,7 +39,7 @@
   @FunctionalInterface
   public interface Service {
     /** Takes a request; the result is told of the caller from then on. */
-    CallerAnswer.Flow take(CallerRequest request, CallerAnswer answer);
+    CallerResponse.Listener take(CallerRequest request, CallerResponse answer);
   }
 
   /** Colon, space and line end of a header. */
