--- a/vaneworks-tests/src/test/java/org/vaneworks/coordination/forwarding/EventSplitterTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/coordination/forwarding/EventSplitterTest.java
@@ -11,7 +11,7 @@
   private final EventSplitter splitter = new EventSplitter();
 
   private String take(String text) {
-    return new String(splitter.take(text.getBytes(UTF_8)), UTF_8);
+    return new String(splitter.append(text.getBytes(UTF_8)), UTF_8);
   }
 
   @Test
@@ -50,7 +50,7 @@
   @Test
   void restIsWhatNoEventEnds() {
     take("id: 1\n\nid: 2");
-    assertEquals("id: 2", new String(splitter.rest(), UTF_8));
+    assertEquals("id: 2", new String(splitter.takePartial(), UTF_8));
     assertEquals(Optional.of("1"), splitter.lastId());
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/AttemptEnd.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/AttemptFailure.java
@@ -1,7 +1,7 @@
 package org.vaneworks.coordination.forwarding;
 
 /** Why an attempt ended without a whole answer. */
-enum AttemptEnd {
+enum AttemptFailure {
   /** The endpoint answered that it did not run the request. */
   ENDPOINT_REFUSED("endpoint-refused", false),
   /** The endpoint answered with a failure. */
@@ -9,7 +9,7 @@
   /** The endpoint answered a request for the rest of a stream with a failure. */
   RESUME_REFUSED("resume-refused", false),
   /** The answer belongs to another request. */
-  FOREIGN_ANSWER("foreign-answer", false),
+  MISMATCHED_RESPONSE("foreign-answer", false),
   /** There was no connection to send on. */
   NOT_CONNECTED("not-connected", false),
   /** The connection broke. */
@@ -23,16 +23,16 @@
   /** A later engine is lost, and the first one takes no other path. */
   PATH_LOST("path-lost", true),
   /** A later engine is lost, and the request must not be begun elsewhere. */
-  HELD_BACK("held-back", true),
+  QUARANTINED("held-back", true),
   /** The endpoint that the request was to leave answered first. */
-  OUTRUN("outrun", true),
+  SUPERSEDED("outrun", true),
   /** The caller's or the route's time is over. */
-  TIME_UP("time-up", true);
+  DEADLINE_EXCEEDED("time-up", true);
 
   private final String code;
   private final boolean endedByNode;
 
-  AttemptEnd(String code, boolean endedByNode) {
+  AttemptFailure(String code, boolean endedByNode) {
     this.code = code;
     this.endedByNode = endedByNode;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerPatience.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerDeadlines.java
@@ -12,35 +12,35 @@
  *
  * <p>Immutable. Times are those of the executor's clock, in nanoseconds.
  */
-final class CallerPatience {
+final class CallerDeadlines {
   /** Callers of a stream wait this long for its first event at least. */
-  private static final Duration FIRST_EVENT_PATIENCE = Duration.ofSeconds(2);
+  private static final Duration MIN_FIRST_EVENT_TIMEOUT = Duration.ofSeconds(2);
 
   /** The same as a multiple of the objective, and of that of the longest pause. */
-  private static final int OBJECTIVES_OF_PATIENCE = 4;
+  private static final int OBJECTIVES_PER_TIMEOUT = 4;
 
-  private static final int PAUSES_OF_PATIENCE = 8;
+  private static final int PAUSES_PER_TIMEOUT = 8;
 
   /** A request that is refused is refused this long before its caller leaves. */
-  private static final Duration ON_THE_WAY = Duration.ofMillis(100);
+  private static final Duration REFUSAL_MARGIN = Duration.ofMillis(100);
 
   /** A caller that comes back on a new connection needs about this long anyway. */
-  private static final Duration SOONEST_RETURN = Duration.ofMillis(100);
+  private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(100);
 
   /** Callers honour a time to come back up to this part of what they have left. */
-  private static final int LATEST_RETURN_PART = 3;
+  private static final int MAX_RETRY_AFTER_DIVISOR = 3;
 
   /** A time to come back lies between this part of the expected time and as much beyond it. */
-  private static final double EARLIEST_SHARE = 0.75;
+  private static final double MIN_JITTER_FACTOR = 0.75;
 
   /** Callers return over this part of the time until an endpoint takes requests, after it. */
-  private static final double SPREAD_SHARE = 0.25;
+  private static final double BACKOFF_JITTER = 0.25;
 
   private final EntryRoute route;
   private final long startedAt;
   private final Duration limit;
 
-  private CallerPatience(EntryRoute route, long startedAt, Duration limit) {
+  private CallerDeadlines(EntryRoute route, long startedAt, Duration limit) {
     this.route = route;
     this.startedAt = startedAt;
     this.limit = limit;
@@ -51,11 +51,11 @@
    *
    * @param told how long the caller says that it waits, if it does
    */
-  static CallerPatience of(EntryRoute route, Optional<Duration> told, long startedAt) {
+  static CallerDeadlines of(EntryRoute route, Optional<Duration> stated, long startedAt) {
     checkNotNull(route);
-    Duration patience = told.orElse(route.timeout());
-    Duration limit = patience.compareTo(route.timeout()) < 0 ? patience : route.timeout();
-    return new CallerPatience(route, startedAt, limit);
+    Duration timeout = stated.orElse(route.timeout());
+    Duration limit = timeout.compareTo(route.timeout()) < 0 ? timeout : route.timeout();
+    return new CallerDeadlines(route, startedAt, limit);
   }
 
   /** Returns when the request is over in any case. */
@@ -68,25 +68,25 @@
    *
    * @param firstPartTime from sending to the first part of the answer
    */
-  long inTimeUntil(Duration firstPartTime) {
+  long onTimeUntil(Duration firstPartTime) {
     return startedAt + route.objective().toNanos() - firstPartTime.toNanos();
   }
 
   /** Returns until when the request may wait to be sent. */
   long waitsUntil(Duration firstPartTime) {
-    long callerLeaves = Math.min(endsAt(), startedAt + firstPartPatience().toNanos());
-    return callerLeaves - ON_THE_WAY.toNanos() - firstPartTime.toNanos();
+    long callerLeaves = Math.min(endsAt(), startedAt + firstPartTimeout().toNanos());
+    return callerLeaves - REFUSAL_MARGIN.toNanos() - firstPartTime.toNanos();
   }
 
-  private Duration firstPartPatience() {
+  private Duration firstPartTimeout() {
     if (!route.kind().streamed()) {
       return limit;
     }
     return Ordering.<Duration>natural()
         .max(
-            FIRST_EVENT_PATIENCE,
-            route.objective().multipliedBy(OBJECTIVES_OF_PATIENCE),
-            route.pauseObjective().multipliedBy(PAUSES_OF_PATIENCE));
+            MIN_FIRST_EVENT_TIMEOUT,
+            route.objective().multipliedBy(OBJECTIVES_PER_TIMEOUT),
+            route.pauseObjective().multipliedBy(PAUSES_PER_TIMEOUT));
   }
 
   /**
@@ -97,12 +97,12 @@
    * @param untilOpen how long no endpoint takes a request; the caller is not asked back before
    * @param draw a number in [0, 1)
    */
-  Duration comeBack(Duration expected, Duration untilOpen, long now, double draw) {
-    Duration soonest = Ordering.<Duration>natural().max(expected, SOONEST_RETURN);
-    long latest = Math.max(0, endsAt() - now) / LATEST_RETURN_PART;
-    double share = EARLIEST_SHARE + 2 * (1 - EARLIEST_SHARE) * draw;
-    long whenRoom = Math.min(latest, (long) (soonest.toNanos() * share));
-    long whenOpen = (long) (untilOpen.toNanos() * (1 + SPREAD_SHARE * draw));
-    return Duration.ofNanos(Math.max(whenRoom, whenOpen));
+  Duration retryAfter(Duration expected, Duration untilOpen, long now, double draw) {
+    Duration soonest = Ordering.<Duration>natural().max(expected, MIN_RETRY_AFTER);
+    long latest = Math.max(0, endsAt() - now) / MAX_RETRY_AFTER_DIVISOR;
+    double share = MIN_JITTER_FACTOR + 2 * (1 - MIN_JITTER_FACTOR) * draw;
+    long afterWait = Math.min(latest, (long) (soonest.toNanos() * share));
+    long afterBackoff = (long) (untilOpen.toNanos() * (1 + BACKOFF_JITTER * draw));
+    return Duration.ofNanos(Math.max(afterWait, afterBackoff));
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/WaitingLine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CapacityQueue.java
@@ -22,21 +22,21 @@
  * are before it and how many this node has lately started; otherwise, and while no endpoint could
  * run it at all, it is refused at once. Confined to the node's event loop.
  */
-final class WaitingLine {
+final class CapacityQueue {
   /** Between two looks for room; a look costs a few searches for a path. */
-  private static final Duration LOOK = Duration.ofMillis(20);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
   /** Requests that find no room in one look before it ends: a smaller one behind may fit. */
-  private static final int MISSES_A_LOOK = 3;
+  private static final int MAX_MISSES_PER_POLL = 3;
 
   /** Starts are averaged over this time: streams last one to three seconds. */
-  private static final double RATE_NANOS = 1e9;
+  private static final double RATE_TIME_CONSTANT_NANOS = 1e9;
 
   /** Starts a second that are assumed at least, so that the first requests may wait. */
-  private static final double LEAST_RATE = 2;
+  private static final double MIN_STARTS_PER_SECOND = 2;
 
   /** Weight of a newer time to the first part against those before. */
-  private static final double NEWER = 0.1;
+  private static final double FIRST_PART_SMOOTHING = 0.1;
 
   /** How a request stands to its caller. */
   enum Rank {
@@ -70,7 +70,7 @@
     boolean continues();
 
     /** Until when it has to begin to be in time, on the executor's clock. */
-    long inTimeUntil();
+    long onTimeUntil();
 
     /** Until when its caller waits for it, on the executor's clock. */
     long waitsUntil();
@@ -84,31 +84,31 @@
       if (waiter.continues()) {
         return Rank.CONTINUES;
       }
-      return now <= waiter.inTimeUntil() ? Rank.IN_TIME : Rank.LATE;
+      return now <= waiter.onTimeUntil() ? Rank.IN_TIME : Rank.LATE;
     }
   }
 
   private final Executor clock;
   private final List<Entry> entries = new ArrayList<>();
-  private boolean looking;
-  private double startsASecond;
-  private long ratedAt;
+  private boolean pollScheduled;
+  private double startsPerSecond;
+  private long rateUpdatedAt;
   private double firstPartNanos;
-  private OptionalLong shortSince = OptionalLong.empty();
+  private OptionalLong shortageSince = OptionalLong.empty();
 
-  WaitingLine(Executor clock) {
+  CapacityQueue(Executor clock) {
     this.clock = checkNotNull(clock);
-    ratedAt = now();
+    rateUpdatedAt = now();
   }
 
   /** Starts a request if there is room and none waits, lets it wait, or refuses it. */
   void join(Waiter waiter) {
     if (entries.isEmpty() && tryStart(waiter)) {
-      shortSince = OptionalLong.empty();
+      shortageSince = OptionalLong.empty();
       return;
     }
-    if (shortSince.isEmpty()) {
-      shortSince = OptionalLong.of(now());
+    if (shortageSince.isEmpty()) {
+      shortageSince = OptionalLong.of(now());
     }
     Entry entry = new Entry(waiter, now());
     entries.add(entry);
@@ -117,7 +117,7 @@
       waiter.refuse();
       return;
     }
-    lookLater();
+    schedulePoll();
   }
 
   /** Takes a request out, for example because its caller left. */
@@ -133,13 +133,13 @@
    * seconds, so a caller that comes back at once is refused again.
    */
   Duration expectedWait() {
-    long lasted = shortSince.isPresent() ? now() - shortSince.getAsLong() : 0;
+    long lasted = shortageSince.isPresent() ? now() - shortageSince.getAsLong() : 0;
     return Duration.ofNanos(Math.max(lasted, (long) waitBehind(entries.size())));
   }
 
   /** Takes note of how long an answer's first part took since its request was sent. */
-  void firstPartTook(long nanos) {
-    firstPartNanos += NEWER * (nanos - firstPartNanos);
+  void recordFirstPartTime(long nanos) {
+    firstPartNanos += FIRST_PART_SMOOTHING * (nanos - firstPartNanos);
   }
 
   /** Returns the usual time from sending a request to the first part of its answer. */
@@ -147,17 +147,17 @@
     return Duration.ofNanos((long) firstPartNanos);
   }
 
-  private void lookLater() {
-    if (!looking) {
-      looking = true;
-      clock.schedule(this::look, LOOK.toNanos(), NANOSECONDS);
+  private void schedulePoll() {
+    if (!pollScheduled) {
+      pollScheduled = true;
+      clock.schedule(this::poll, POLL_INTERVAL.toNanos(), NANOSECONDS);
     }
   }
 
-  private void look() {
-    looking = false;
+  private void poll() {
+    pollScheduled = false;
     int misses = 0;
-    int before = 0;
+    int ahead = 0;
     for (Entry entry : ordered()) {
       if (!entries.remove(entry)) {
         continue;
@@ -166,19 +166,19 @@
         entry.waiter().refuse();
         continue;
       }
-      if (misses < MISSES_A_LOOK && tryStart(entry.waiter())) {
+      if (misses < MAX_MISSES_PER_POLL && tryStart(entry.waiter())) {
         continue;
       }
       misses++;
-      if (cannotBeServed(entry, before)) {
+      if (cannotBeServed(entry, ahead)) {
         entry.waiter().refuse();
       } else {
         entries.add(entry);
-        before++;
+        ahead++;
       }
     }
     if (!entries.isEmpty()) {
-      lookLater();
+      schedulePoll();
     }
   }
 
@@ -186,30 +186,30 @@
     if (!waiter.start()) {
       return false;
     }
-    age();
-    startsASecond += 1e9 / RATE_NANOS;
+    decayRate();
+    startsPerSecond += 1e9 / RATE_TIME_CONSTANT_NANOS;
     return true;
   }
 
-  private void age() {
+  private void decayRate() {
     long now = now();
-    startsASecond *= Math.exp(-(now - ratedAt) / RATE_NANOS);
-    ratedAt = now;
+    startsPerSecond *= Math.exp(-(now - rateUpdatedAt) / RATE_TIME_CONSTANT_NANOS);
+    rateUpdatedAt = now;
   }
 
-  private boolean cannotBeServed(Entry entry, int before) {
+  private boolean cannotBeServed(Entry entry, int ahead) {
     Waiter waiter = entry.waiter();
     Openings openings = waiter.openings();
     if (!openings.any()) {
-      return !waiter.continues() || now() + waitBehind(before) > waiter.waitsUntil();
+      return !waiter.continues() || now() + waitBehind(ahead) > waiter.waitsUntil();
     }
-    double expected = Math.max(now() + waitBehind(before), openings.at(before, now()));
+    double expected = Math.max(now() + waitBehind(ahead), openings.at(ahead, now()));
     return expected > waiter.waitsUntil();
   }
 
   private double waitBehind(int requests) {
-    age();
-    return requests * 1e9 / Math.max(LEAST_RATE, startsASecond);
+    decayRate();
+    return requests * 1e9 / Math.max(MIN_STARTS_PER_SECOND, startsPerSecond);
   }
 
   private ImmutableList<Entry> ordered() {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/WaitingLines.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CapacityQueues.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 
 /** The waiting line of each service. Confined to the node's event loop. */
-final class WaitingLines {
+final class CapacityQueues {
   private final Executor clock;
-  private final Map<String, WaitingLine> byService = new HashMap<>();
+  private final Map<String, CapacityQueue> byService = new HashMap<>();
 
-  WaitingLines(Executor clock) {
+  CapacityQueues(Executor clock) {
     this.clock = checkNotNull(clock);
   }
 
   /** Returns the line of a service. */
-  WaitingLine of(String service) {
-    return byService.computeIfAbsent(service, name -> new WaitingLine(clock));
+  CapacityQueue of(String service) {
+    return byService.computeIfAbsent(service, name -> new CapacityQueue(clock));
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Place.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
@@ -25,12 +25,12 @@
  *
  * <p>Confined to the node's event loop.
  */
-final class Place {
+final class EndpointSelector {
   /** An engine that said that it is full gets nothing new for its report's lag. */
-  private static final Duration FULL_PAUSE = Duration.ofMillis(200);
+  private static final Duration OVERLOAD_BACKOFF = Duration.ofMillis(200);
 
   /** An engine that does not hold what the list says is left alone until the list is newer. */
-  private static final Duration MISPLACED_PAUSE = Duration.ofMillis(800);
+  private static final Duration MISDIRECTED_BACKOFF = Duration.ofMillis(800);
 
   private static final int MISDIRECTED = 421;
 
@@ -43,7 +43,7 @@
   private Optional<EnginePath> path = Optional.empty();
   private Optional<TrackedEndpoint> target = Optional.empty();
 
-  Place(
+  EndpointSelector(
       ForwardContext context,
       String service,
       Optional<ModelProfile> model,
@@ -61,7 +61,7 @@
   }
 
   /** Returns whether engines run the request. */
-  boolean onEngines() {
+  boolean runsOnEngines() {
     return model.isPresent();
   }
 
@@ -76,11 +76,11 @@
   }
 
   /** Returns whether the request has a place. */
-  boolean isTaken() {
+  boolean isSelected() {
     return target.isPresent();
   }
 
-  boolean passes(TrackedEndpoint engine) {
+  boolean uses(TrackedEndpoint engine) {
     return path.isPresent() && path.get().passes(engine);
   }
 
@@ -98,7 +98,7 @@
    * there is another. Whether the endpoint is dead shows a moment later, which is too late for this
    * request.
    */
-  void failedHere() {
+  void noteFailed() {
     target.ifPresent(failed::add);
   }
 
@@ -107,17 +107,17 @@
    *
    * @param path empty at a plain service
    */
-  record Taken(TrackedEndpoint target, Optional<EnginePath> path) {}
+  record Selection(TrackedEndpoint target, Optional<EnginePath> path) {}
 
   /**
    * Takes a place, and leaves the one that the request has; returns false if there is none now, and
    * then changes nothing.
    */
-  boolean take() {
-    Optional<Taken> next = find();
+  boolean select() {
+    Optional<Selection> next = find();
     if (next.isPresent()) {
       release();
-      begin(next.get());
+      assign(next.get());
     }
     return next.isPresent();
   }
@@ -126,54 +126,54 @@
    * Takes a place at another endpoint beside the one that the request has, and returns the latter,
    * which goes on to be taken; returns empty if there is none now, and then changes nothing.
    */
-  Optional<Taken> takeBeside() {
-    Taken former = new Taken(target(), path);
-    Optional<Taken> next = findElsewhere();
-    next.ifPresent(this::begin);
-    return next.map(taken -> former);
+  Optional<Selection> selectAdditional() {
+    Selection previous = new Selection(target(), path);
+    Optional<Selection> next = findElsewhere();
+    next.ifPresent(this::assign);
+    return next.map(taken -> previous);
   }
 
   /** Leaves the present place for one that has been taken before, and still is. */
-  void returnTo(Taken former) {
+  void revertTo(Selection previous) {
     release();
-    target = Optional.of(former.target());
-    path = former.path();
+    target = Optional.of(previous.target());
+    path = previous.path();
   }
 
-  private Optional<Taken> find() {
+  private Optional<Selection> find() {
     if (model.isEmpty()) {
-      return leastLoaded().map(replica -> new Taken(replica, Optional.empty()));
+      return leastLoaded().map(replica -> new Selection(replica, Optional.empty()));
     }
     Optional<EnginePath> next =
         context.planner().plan(query(), usable(ImmutableList.copyOf(failed)));
     if (next.isEmpty() && !failed.isEmpty()) {
       next = context.planner().plan(query(), usable(ImmutableList.of()));
     }
-    return next.map(found -> new Taken(found.first(), Optional.of(found)));
+    return next.map(found -> new Selection(found.first(), Optional.of(found)));
   }
 
-  private Optional<Taken> findElsewhere() {
+  private Optional<Selection> findElsewhere() {
     if (model.isEmpty()) {
       return find().filter(next -> next.target() != target());
     }
     return context
         .planner()
         .plan(query(), usable(ImmutableList.copyOf(Sets.union(failed, ImmutableSet.of(target())))))
-        .map(found -> new Taken(found.first(), Optional.of(found)));
+        .map(found -> new Selection(found.first(), Optional.of(found)));
   }
 
-  private void begin(Taken next) {
+  private void assign(Selection next) {
     target = Optional.of(next.target());
     path = next.path();
     if (path.isPresent()) {
-      begin(path.get());
+      assign(path.get());
     } else {
-      begin(next.target());
+      assign(next.target());
     }
     tried.add(next.target());
   }
 
-  private void begin(EnginePath chosen) {
+  private void assign(EnginePath chosen) {
     noteSend(chosen.first());
     chosen.parts().stream()
         .map(PathPart::engine)
@@ -182,7 +182,7 @@
     chosen.reserve(size.tokens());
   }
 
-  private void begin(TrackedEndpoint replica) {
+  private void assign(TrackedEndpoint replica) {
     noteSend(replica);
     replica.reserve(0);
   }
@@ -204,7 +204,7 @@
   }
 
   /** Returns a path with the same first part that avoids some engines. */
-  Optional<EnginePath> another(ImmutableList<TrackedEndpoint> without) {
+  Optional<EnginePath> alternativePath(ImmutableList<TrackedEndpoint> without) {
     PathPart first = path.orElseThrow().parts().get(0);
     return context.planner().replan(query(), usable(without), first);
   }
@@ -218,7 +218,7 @@
   TrackedEndpoint noteObstacle(ResponseHead refused) {
     TrackedEndpoint obstacle = refused.obstacle().flatMap(this::engineAt).orElseGet(this::target);
     boolean misdirected = refused.status() == MISDIRECTED;
-    Duration pause = misdirected ? MISPLACED_PAUSE : FULL_PAUSE;
+    Duration pause = misdirected ? MISDIRECTED_BACKOFF : OVERLOAD_BACKOFF;
     obstacle.avoidUntil(now() + pause.toNanos());
     if (misdirected && obstacle.endpoint().incarnation().isTold()) {
       // It may have started again and hold nothing; its report tells so before the list does.
@@ -230,25 +230,25 @@
 
   /** Goes on over another path with the same first engine. */
   void replace(EnginePath next) {
-    EnginePath former = path.orElseThrow();
-    former.release(size.tokens());
+    EnginePath previous = path.orElseThrow();
+    previous.release(size.tokens());
     next.reserve(size.tokens());
     next.parts().stream()
         .map(PathPart::engine)
-        .filter(engine -> !former.passes(engine))
+        .filter(engine -> !previous.passes(engine))
         .forEach(this::noteLaterPart);
     path = Optional.of(next);
   }
 
   /** Leaves the place. */
   void release() {
-    target.ifPresent(taken -> release(new Taken(taken, path)));
+    target.ifPresent(taken -> release(new Selection(taken, path)));
     path = Optional.empty();
     target = Optional.empty();
   }
 
   /** Leaves a place that was taken beside the present one. */
-  void release(Taken taken) {
+  void release(Selection taken) {
     if (taken.path().isPresent()) {
       taken.path().get().release(size.tokens());
     } else {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EventSplitter.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EventSplitter.java
@@ -21,12 +21,12 @@
   private byte[] lastWithId = {};
 
   /** Takes bytes in; returns those that complete events, perhaps none. */
-  byte[] take(byte[] bytes) {
-    byte[] all = withPartial(bytes);
-    int end = endOfWholeEvents(all);
-    partial.write(all, end, all.length - end);
+  byte[] append(byte[] bytes) {
+    byte[] pending = withPartial(bytes);
+    int end = endOfWholeEvents(pending);
+    partial.write(pending, end, pending.length - end);
     // An endpoint writes event by event, so most of the time there is nothing to cut.
-    byte[] whole = end == all.length ? all : Arrays.copyOf(all, end);
+    byte[] whole = end == pending.length ? pending : Arrays.copyOf(pending, end);
     if (startOfLastId(whole) >= 0) {
       lastWithId = whole;
     }
@@ -38,18 +38,18 @@
       return bytes;
     }
     partial.writeBytes(bytes);
-    return rest();
+    return takePartial();
   }
 
   /** Returns the bytes that were kept back, and keeps none. */
-  byte[] rest() {
-    byte[] rest = partial.toByteArray();
+  byte[] takePartial() {
+    byte[] takePartial = partial.toByteArray();
     partial.reset();
-    return rest;
+    return takePartial;
   }
 
   /** Keeps bytes back that {@link #rest} returned, in place of what is kept now. */
-  void keepBack(byte[] bytes) {
+  void restorePartial(byte[] bytes) {
     partial.reset();
     partial.writeBytes(bytes);
   }
@@ -83,8 +83,8 @@
   /** Returns where the value of the last line with an id begins, -1 if there is none. */
   private static int startOfLastId(byte[] whole) {
     for (int i = whole.length - ID_FIELD.length; i >= 0; i--) {
-      boolean lineBegins = i == 0 || whole[i - 1] == '\n' || whole[i - 1] == '\r';
-      if (lineBegins
+      boolean startsLine = i == 0 || whole[i - 1] == '\n' || whole[i - 1] == '\r';
+      if (startsLine
           && Arrays.equals(whole, i, i + ID_FIELD.length, ID_FIELD, 0, ID_FIELD.length)) {
         return i + ID_FIELD.length;
       }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ElsewhereSearch.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Failover.java
@@ -14,47 +14,47 @@
  * <p>Silence proves nothing, so the attempt goes on until the other place is taken, and for good if
  * there is none: whatever the endpoint still says is passed on. Confined to the node's event loop.
  */
-final class ElsewhereSearch {
+final class Failover {
   /**
    * Why the present attempt is to be left.
    *
    * @param silent the engine that gives no sign of life
    */
-  record Departure(AttemptEnd end, TrackedEndpoint silent, String cause) {}
+  record Trigger(AttemptFailure failure, TrackedEndpoint unresponsive, String cause) {}
 
   /** The request that seeks. */
-  interface Owner {
+  interface Callbacks {
     /** Returns why it may not be sent again if its attempt is left now. */
-    Optional<Denial> denialIfLeft();
+    Optional<ResendDenial> denialIfAbandoned();
 
     /** Seeks a place, or goes on waiting for one. */
-    void seekPlace();
+    void acquireEndpoint();
 
     /** Waits for a place no longer. */
-    void leaveLine();
+    void leaveQueue();
 
     /** Remains where it is, or is given up. */
-    void denied(Departure departure, Denial denial);
+    void denied(Trigger trigger, ResendDenial denial);
   }
 
   private final Executor clock;
-  private final Owner owner;
-  private Optional<Departure> departure = Optional.empty();
+  private final Callbacks callbacks;
+  private Optional<Trigger> trigger = Optional.empty();
   private long notBefore;
-  private boolean told;
+  private boolean actionRun;
 
-  ElsewhereSearch(Executor clock, Owner owner) {
+  Failover(Executor clock, Callbacks callbacks) {
     this.clock = checkNotNull(clock);
-    this.owner = checkNotNull(owner);
+    this.callbacks = checkNotNull(callbacks);
   }
 
-  boolean isOn() {
-    return departure.isPresent();
+  boolean isActive() {
+    return trigger.isPresent();
   }
 
   /** Returns why the attempt is to be left; the search must be on. */
-  Departure departure() {
-    return departure.orElseThrow();
+  Trigger trigger() {
+    return trigger.orElseThrow();
   }
 
   /**
@@ -62,58 +62,58 @@
    *
    * @param wait until another place may be sought
    */
-  void begin(Departure wanted, Duration wait) {
-    if (isOn()) {
+  void start(Trigger reason, Duration wait) {
+    if (isActive()) {
       return;
     }
-    departure = Optional.of(wanted);
+    trigger = Optional.of(reason);
     notBefore = clock.currentTime(NANOSECONDS) + wait.toNanos();
     if (wait.isZero()) {
-      look();
+      retry();
     } else {
-      clock.schedule(this::look, wait.toNanos(), NANOSECONDS);
+      clock.schedule(this::retry, wait.toNanos(), NANOSECONDS);
     }
   }
 
   /** Looks whether the request may go on elsewhere, if the search is on. */
-  void look() {
-    if (!isOn() || clock.currentTime(NANOSECONDS) < notBefore) {
+  void retry() {
+    if (!isActive() || clock.currentTime(NANOSECONDS) < notBefore) {
       return;
     }
-    Optional<Denial> denial = owner.denialIfLeft();
+    Optional<ResendDenial> denial = callbacks.denialIfAbandoned();
     if (denial.isPresent()) {
-      owner.denied(departure(), denial.get());
+      callbacks.denied(trigger(), denial.get());
     } else {
-      owner.seekPlace();
+      callbacks.acquireEndpoint();
     }
   }
 
   /** Takes note that the line has no place in time, or may give it none. */
-  void refused() {
-    owner.denied(departure(), owner.denialIfLeft().orElse(Denial.NO_ROOM));
+  void capacityRefused() {
+    callbacks.denied(trigger(), callbacks.denialIfAbandoned().orElse(ResendDenial.NO_CAPACITY));
   }
 
   /** Runs the action if it was not run since the search began. */
-  void tellOnce(Runnable action) {
-    if (!told) {
-      told = true;
+  void runOncePerFailover(Runnable action) {
+    if (!actionRun) {
+      actionRun = true;
       action.run();
     }
   }
 
   /** Ends if it was begun because of this engine, which answers again. */
-  void recovered(TrackedEndpoint engine) {
-    if (departure.filter(wanted -> wanted.silent() == engine).isPresent()) {
-      end();
+  void engineRecovered(TrackedEndpoint engine) {
+    if (trigger.filter(reason -> reason.unresponsive() == engine).isPresent()) {
+      stop();
     }
   }
 
   /** Ends: the request makes progress, or its attempt is over. */
-  void end() {
-    if (isOn()) {
-      departure = Optional.empty();
-      told = false;
-      owner.leaveLine();
+  void stop() {
+    if (isActive()) {
+      trigger = Optional.empty();
+      actionRun = false;
+      callbacks.leaveQueue();
     }
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardContext.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardContext.java
@@ -35,7 +35,7 @@
     HealthWatch health,
     EngineControl control,
     EndpointTransport calls,
-    WaitingLines lines,
+    CapacityQueues queues,
     ResendBudget budget,
     Quarantine quarantine,
     EndedEndpoints endedEndpoints,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardLog.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardLog.java
@@ -16,12 +16,13 @@
 final class ForwardLog {
   private ForwardLog() {}
 
-  static void refused(CallerRequest request, Refusal refusal, Trail trail, Counters counters) {
+  static void refused(
+      CallerRequest request, Refusal refusal, RequestProgress progress, Counters counters) {
     counters.count(Metric.REFUSALS, refusal.reason().code());
     counters.count(Metric.VERDICTS, refusal.verdict().name().toLowerCase(Locale.ROOT));
-    withTrail(
+    logWithProgress(
         Event.REQUEST_REFUSED,
-        trail,
+        progress,
         "request",
         request.id(),
         "reason",
@@ -33,18 +34,18 @@
   }
 
   /** Writes a line of a request with how far it came. */
-  private static void withTrail(Event event, Trail trail, Object... pairs) {
-    Object[] way = {
+  private static void logWithProgress(Event event, RequestProgress progress, Object... pairs) {
+    Object[] progressPairs = {
       "lastSentTo",
-      trail.lastSentTo().map(Object::toString).orElse(""),
+      progress.lastSentTo().map(Object::toString).orElse(""),
       "sends",
-      trail.sends(),
+      progress.sends(),
       "afterMs",
-      trail.sinceArrival().toMillis(),
+      progress.sinceArrival().toMillis(),
       "noProgressMs",
-      trail.sinceProgress().toMillis()
+      progress.sinceProgress().toMillis()
     };
-    EventLog.info(event, ObjectArrays.concat(pairs, way, Object.class));
+    EventLog.info(event, ObjectArrays.concat(pairs, progressPairs, Object.class));
   }
 
   static void sent(CallerRequest request, Attempt attempt, int sends) {
@@ -73,19 +74,19 @@
    */
   static void sentAgain(
       CallerRequest request,
-      AttemptEnd end,
+      AttemptFailure failure,
       int sends,
       String triedAt,
       long afterMillis,
       Object cause,
       Counters counters) {
-    counters.count(Metric.RETRIES, end.code());
+    counters.count(Metric.RETRIES, failure.code());
     EventLog.info(
         Event.REQUEST_SENT_AGAIN,
         "request",
         request.id(),
         "reason",
-        end.code(),
+        failure.code(),
         "sends",
         sends,
         "triedAt",
@@ -138,19 +139,23 @@
   /**
    * Notes that a request remains at an endpoint that gives no sign of life.
    *
-   * @param end what would have ended the attempt
+   * @param failure what would have ended the attempt
    * @param denial why there is no other attempt
    */
-  static void stays(
-      CallerRequest request, AttemptEnd end, Denial denial, Trail trail, Counters counters) {
-    counters.count(Metric.STAYS, end.code() + "/" + denial.code());
-    withTrail(
+  static void stayed(
+      CallerRequest request,
+      AttemptFailure failure,
+      ResendDenial denial,
+      RequestProgress progress,
+      Counters counters) {
+    counters.count(Metric.STAYS, failure.code() + "/" + denial.code());
+    logWithProgress(
         Event.REQUEST_STAYS,
-        trail,
+        progress,
         "request",
         request.id(),
         "reason",
-        end.code(),
+        failure.code(),
         "noOther",
         denial.code());
   }
@@ -158,27 +163,27 @@
   /**
    * Notes that an answer was broken off after its head had reached the caller.
    *
-   * @param end of the last attempt
+   * @param failure of the last attempt
    * @param denial why there is no other attempt
    */
   static void cut(
       CallerRequest request,
-      AttemptEnd end,
-      Denial denial,
+      AttemptFailure failure,
+      ResendDenial denial,
       String cause,
-      Trail trail,
+      RequestProgress progress,
       Counters counters) {
     counters.count(Metric.REFUSALS, "cut");
-    counters.count(Metric.CUTS, end.code() + "/" + denial.code());
-    withTrail(
+    counters.count(Metric.CUTS, failure.code() + "/" + denial.code());
+    logWithProgress(
         Event.STREAM_FAILED,
-        trail,
+        progress,
         "request",
         request.id(),
         "reason",
-        end.code(),
+        failure.code(),
         "endedBy",
-        end.endedByNode() ? "node" : "endpoint",
+        failure.endedByNode() ? "node" : "endpoint",
         "noOther",
         denial.code(),
         "cause",
--- /dev/null
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
@@ -0,0 +1,906 @@
+package org.vaneworks.coordination.forwarding;
+
+import static java.util.concurrent.TimeUnit.NANOSECONDS;
+
+import io.servicetalk.concurrent.Cancellable;
+import java.time.Duration;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.vaneworks.coordination.fleet.NobodyListensException;
+import org.vaneworks.coordination.fleet.Openings;
+import org.vaneworks.coordination.fleet.TrackedEndpoint;
+import org.vaneworks.coordination.forwarding.Failover.Trigger;
+import org.vaneworks.coordination.relay.EnginePath;
+import org.vaneworks.state.Reason;
+import org.vaneworks.state.Refusal;
+import org.vaneworks.state.RequestContent;
+import org.vaneworks.state.Verdict;
+import org.vaneworks.state.entry.Caller;
+import org.vaneworks.state.entry.EntryConfiguration;
+import org.vaneworks.state.entry.EntryRoute;
+import org.vaneworks.state.entry.ServiceProfile;
+import org.vaneworks.telemetry.Metric;
+
+/**
+ * One request on its way to an endpoint and back.
+ *
+ * <p>At any time at most one attempt counts; what an earlier one still says is ignored. Confined to
+ * the node's event loop.
+ */
+final class ForwardedRequest implements CallerResponse.Listener {
+  /** A plain endpoint whose connection failed gets nothing new for a moment. */
+  private static final Duration FAILED_REPLICA_PAUSE = Duration.ofMillis(500);
+
+  /** Callers give a stream up after two seconds without an event. */
+  private static final Duration RESUME_TIMEOUT = Duration.ofMillis(1500);
+
+  /**
+   * Whether an endpoint has ended or only a connection broke is known within this time; one
+   * endpoint less is lost under a request that ends endpoints.
+   */
+  private static final Duration FAILURE_DETECTION_DELAY = Duration.ofMillis(100);
+
+  private static final int SERVER_ERROR = 500;
+  private static final int MISDIRECTED = 421;
+
+  private final ForwardContext context;
+  private final EntryRoute route;
+  private final Optional<Caller> caller;
+  private final CallerRequest request;
+  private final CallerResponse answer;
+  private final Consumer<ForwardedRequest> onDone;
+  private final String service;
+  private final EndpointSelector selector;
+  private final ProgressMonitor progress;
+  private final long startedAt;
+  private final CallerDeadlines patience;
+  private final long endsAt;
+  private final ResponseMetrics times;
+  private final CapacityQueue queue;
+  private final CapacityQueue.Waiter waiter = new QueueWaiter();
+  private final EventSplitter splitter = new EventSplitter();
+  private final RequestQuarantine quarantine;
+  private final Failover failover;
+  private final PathRepairs repairs;
+
+  /** Empty while none is under way. */
+  private Optional<RunningAttempt> attempt = Optional.empty();
+
+  /** The attempt whose place the present one takes as soon as that is answered. */
+  private Optional<PreviousAttempt> previous = Optional.empty();
+
+  private Optional<TrackedEndpoint> lastSentTo = Optional.empty();
+  private int sends;
+  private int runs;
+  private AttemptFailure lastFailure = AttemptFailure.NOT_CONNECTED;
+  private boolean firstPartReceived;
+  private boolean headSent;
+  private boolean queued;
+  private boolean done;
+  private Cancellable limitTimer = () -> {};
+
+  private ForwardedRequest(
+      ForwardContext context,
+      EntryConfiguration configuration,
+      EntryRoute route,
+      Optional<Caller> caller,
+      CallerRequest request,
+      CallerResponse answer,
+      Consumer<ForwardedRequest> onDone) {
+    this.context = context;
+    this.route = route;
+    this.caller = caller;
+    this.request = request;
+    this.answer = answer;
+    this.onDone = onDone;
+    this.service = route.service(context.random().nextDouble());
+    this.selector =
+        new EndpointSelector(
+            context,
+            service,
+            configuration.service(service).flatMap(ServiceProfile::model),
+            request.size());
+    this.quarantine = new RequestQuarantine(context, request, caller.map(Caller::workspace));
+    this.queue = context.queues().of(service);
+    this.progress = new ProgressMonitor(context, selector, route.pauseObjective(), this::stalled);
+    this.failover = new Failover(context.clock(), new FailoverCallbacks());
+    this.repairs = new PathRepairs(context, request, selector, quarantine, new RepairCallbacks());
+    this.startedAt = now();
+    this.patience = CallerDeadlines.of(route, request.callerTimeout(), startedAt);
+    this.endsAt = patience.endsAt();
+    this.times = new ResponseMetrics(context.counters(), route.kind().streamed(), startedAt);
+  }
+
+  static ForwardedRequest create(
+      ForwardContext context,
+      EntryConfiguration configuration,
+      EntryRoute route,
+      Optional<Caller> caller,
+      CallerRequest request,
+      CallerResponse answer,
+      Consumer<ForwardedRequest> onDone) {
+    return new ForwardedRequest(context, configuration, route, caller, request, answer, onDone);
+  }
+
+  void start() {
+    limitTimer =
+        context.clock().schedule(this::onDeadline, Math.max(0, endsAt - startedAt), NANOSECONDS);
+    context.budget().earn();
+    if (quarantine.isQuarantined()) {
+      refuseQuarantined();
+      return;
+    }
+    acquireEndpoint();
+  }
+
+  /** Begins at an endpoint, or waits for room at one while that has a prospect. */
+  private void acquireEndpoint() {
+    if (!done && !queued) {
+      queued = true;
+      queue.join(waiter);
+    }
+  }
+
+  private void leaveQueue() {
+    queued = false;
+    queue.leave(waiter);
+  }
+
+  /** This request while it waits for room. */
+  private final class QueueWaiter implements CapacityQueue.Waiter {
+    @Override
+    public boolean start() {
+      queued = false;
+      if (failover.isActive() ? failOver() : begin()) {
+        return true;
+      }
+      queued = true;
+      return false;
+    }
+
+    @Override
+    public Openings openings() {
+      return selector.openings();
+    }
+
+    @Override
+    public boolean mayStart() {
+      return !failover.isActive() || denialIfAbandoned().isEmpty();
+    }
+
+    @Override
+    public void refuse() {
+      queued = false;
+      if (failover.isActive()) {
+        failover.capacityRefused();
+        return;
+      }
+      giveUp(
+          Verdict.NOT_RUN,
+          ResendDenial.NO_CAPACITY,
+          "no endpoint of " + service + " has room in time");
+    }
+
+    @Override
+    public boolean continues() {
+      return headSent;
+    }
+
+    @Override
+    public long onTimeUntil() {
+      return patience.onTimeUntil(queue.firstPartTime());
+    }
+
+    @Override
+    public long waitsUntil() {
+      if (headSent) {
+        return progress.lastProgress() + RESUME_TIMEOUT.toNanos();
+      }
+      return patience.waitsUntil(queue.firstPartTime());
+    }
+
+    @Override
+    public int priority() {
+      return caller
+          .map(known -> known.priority().orElse(route.priority()))
+          .orElse(route.priority());
+    }
+  }
+
+  /**
+   * An attempt that goes on while its successor waits for an answer.
+   *
+   * @param partOfEvent bytes of an event that came without its end
+   * @param left why it is to be left
+   */
+  private record PreviousAttempt(
+      RunningAttempt attempt,
+      EndpointSelector.Selection selector,
+      byte[] partOfEvent,
+      Trigger abandoned) {}
+
+  private boolean begin() {
+    if (!selector.select()) {
+      return false;
+    }
+    send();
+    return true;
+  }
+
+  private void send() {
+    sends++;
+    quarantine.started();
+    RunningAttempt running = new RunningAttempt(selector.target(), now());
+    attempt = Optional.of(running);
+    lastSentTo = Optional.of(running.endpoint());
+    Attempt sent =
+        new Attempt(
+            request,
+            running.endpoint().endpoint(),
+            selector.path().map(EnginePath::text),
+            Duration.ofNanos(Math.max(0, endsAt - now())),
+            caller.map(Caller::workspace),
+            splitter.lastId());
+    ForwardLog.sent(request, sent, sends);
+    progress.attemptStarted(headSent);
+    // The attempt may be over once this returns, and another one under way.
+    running.setCall(context.calls().send(sent, new AttemptListener(running)));
+  }
+
+  /** Hears of one attempt; ignores it once another attempt counts. */
+  private final class AttemptListener implements EndpointTransport.Listener {
+    private final RunningAttempt running;
+
+    AttemptListener(RunningAttempt running) {
+      this.running = running;
+    }
+
+    /** Returns whether it counts; a former attempt that speaks is the present one again. */
+    private boolean isOrBecomesCurrent() {
+      if (isPrevious(running)) {
+        supersedeReplacement();
+      }
+      return isCurrent(running);
+    }
+
+    @Override
+    public void head(ResponseHead head) {
+      noteStatement(head, running.endpoint());
+      if (isOrBecomesCurrent()) {
+        progress.headReceived();
+        failover.stop();
+        ForwardedRequest.this.head(head, running);
+      }
+    }
+
+    @Override
+    public void data(byte[] bytes) {
+      if (isOrBecomesCurrent()) {
+        progress.partReceived();
+        failover.stop();
+        notePart(running);
+        passOn(bytes, running);
+      }
+    }
+
+    @Override
+    public void end() {
+      if (isOrBecomesCurrent()) {
+        running.endpoint().noteSuccess();
+        finish();
+      }
+    }
+
+    @Override
+    public void failed(boolean neverSent, Throwable cause) {
+      if (isPrevious(running)) {
+        previousFailed(cause);
+      } else if (isOrBecomesCurrent()) {
+        ForwardedRequest.this.failed(neverSent, cause, running.endpoint());
+      }
+    }
+  }
+
+  private void notePart(RunningAttempt running) {
+    running.notePart(now());
+    if (!firstPartReceived && sends == 1) {
+      queue.recordFirstPartTime(now() - running.sentAt());
+    }
+    firstPartReceived = true;
+    times.recordPart(now());
+  }
+
+  /** Takes what the endpoint says of itself, unless another may have answered in its place. */
+  private void noteStatement(ResponseHead head, TrackedEndpoint endpoint) {
+    if (head.matches() && head.status() != MISDIRECTED) {
+      context.fleet().statements().answered(endpoint, head.statement());
+    }
+  }
+
+  private void head(ResponseHead head, RunningAttempt running) {
+    if (!head.matches()) {
+      running.cancel();
+      attemptEnded(
+          Verdict.MAY_HAVE_RUN, AttemptFailure.MISMATCHED_RESPONSE, "an answer to another request");
+    } else if (head.notRun()) {
+      running.discard();
+      TrackedEndpoint obstacle = selector.noteObstacle(head);
+      String cause = "status " + head.status() + " for want of " + obstacle;
+      attemptEnded(Verdict.NOT_RUN, AttemptFailure.ENDPOINT_REFUSED, cause);
+    } else if (head.status() >= SERVER_ERROR && (headSent || route.kind().idempotent())) {
+      serverError(head, running);
+    } else if (headSent) {
+      resumed(head, running);
+    } else {
+      headSent = true;
+      answer.head(head);
+    }
+  }
+
+  private void serverError(ResponseHead head, RunningAttempt running) {
+    boolean retry = !headSent && resendDenial(Verdict.RAN, runs + 1).isEmpty();
+    if (retry || headSent) {
+      running.discard();
+      attemptEnded(Verdict.RAN, AttemptFailure.ENDPOINT_ERROR, "status " + head.status());
+    } else {
+      headSent = true;
+      answer.head(head);
+    }
+  }
+
+  /** The caller keeps the head of the first run; only events follow. */
+  private void resumed(ResponseHead head, RunningAttempt running) {
+    if (head.success()) {
+      abandonPrevious();
+      return;
+    }
+    running.discard();
+    attemptEnded(Verdict.RAN, AttemptFailure.RESUME_REFUSED, "status " + head.status());
+  }
+
+  private void passOn(byte[] bytes, RunningAttempt running) {
+    byte[] whole = route.kind().streamed() ? splitter.append(bytes) : bytes;
+    if (whole.length > 0 && !answer.data(whole)) {
+      running.pause();
+    }
+  }
+
+  @Override
+  public void drained() {
+    if (!done) {
+      attempt.ifPresent(RunningAttempt::resume);
+    }
+  }
+
+  private void finish() {
+    quarantine.answered();
+    byte[] rest = splitter.takePartial();
+    if (rest.length > 0) {
+      answer.data(rest);
+    }
+    close();
+    times.recordCompletion(now());
+    answer.end();
+  }
+
+  private void failed(boolean neverSent, Throwable cause, TrackedEndpoint endpoint) {
+    selector.noteFailed();
+    if (!neverSent) {
+      noteLost(endpoint);
+    }
+    noteFailure(cause, endpoint);
+    if (!selector.runsOnEngines() && (endpoint.noteFailure() > 1 || neverSent)) {
+      endpoint.avoidUntil(now() + FAILED_REPLICA_PAUSE.toNanos());
+    }
+    attemptEnded(
+        neverSent ? Verdict.NOT_RUN : Verdict.MAY_HAVE_RUN,
+        neverSent ? AttemptFailure.NOT_CONNECTED : AttemptFailure.CONNECTION_LOST,
+        String.valueOf(cause));
+  }
+
+  private void noteFailure(Throwable cause, TrackedEndpoint endpoint) {
+    if (cause instanceof NobodyListensException) {
+      context.fleet().noteNobodyListens(endpoint);
+    }
+    if (selector.runsOnEngines()) {
+      context.health().checkAfterLoss(endpoint);
+    }
+  }
+
+  /** Decides what follows an attempt that brought no whole answer. */
+  private void attemptEnded(Verdict verdict, AttemptFailure failure, String cause) {
+    String triedAt = selector.target().toString();
+    String detail = closeAttempt(verdict, failure, cause);
+    if (previous.isPresent()) {
+      fallBackToPrevious(verdict);
+      return;
+    }
+    selector.release();
+    Optional<ResendDenial> denial = denial(verdict, runs);
+    if (denial.isEmpty() && !context.budget().spend()) {
+      denial = Optional.of(ResendDenial.BUDGET_EXHAUSTED);
+    }
+    if (denial.isPresent()) {
+      giveUp(verdict, denial.get(), failure.code() + ": " + cause);
+      return;
+    }
+    logSentAgain(triedAt, failure, detail);
+    retry(verdict);
+  }
+
+  /** Takes note that an attempt is over; returns the cause with what was dropped. */
+  private String closeAttempt(Verdict verdict, AttemptFailure failure, String cause) {
+    if (verdict != Verdict.NOT_RUN) {
+      runs++;
+    }
+    attempt = Optional.empty();
+    lastFailure = failure;
+    repairs.attemptEnded();
+    failover.stop();
+    return splitter.takePartial().length == 0 ? cause : cause + ", part of an event dropped";
+  }
+
+  private void logSentAgain(String triedAt, AttemptFailure failure, String detail) {
+    long millis = NANOSECONDS.toMillis(now() - startedAt);
+    ForwardLog.sentAgain(request, failure, sends, triedAt, millis, detail, context.counters());
+  }
+
+  /** Seeks another place, at once unless this very loss may hold the request back. */
+  private void retry(Verdict verdict) {
+    if (verdict == Verdict.NOT_RUN || !quarantine.isOneLossShort()) {
+      acquireEndpoint();
+      return;
+    }
+    context
+        .clock()
+        .schedule(
+            this::acquireEndpointIfUnassigned, FAILURE_DETECTION_DELAY.toNanos(), NANOSECONDS);
+  }
+
+  private void acquireEndpointIfUnassigned() {
+    // If the endpoint has ended, the request was told meanwhile that it is held back.
+    if (!done && !selector.isSelected()) {
+      acquireEndpoint();
+    }
+  }
+
+  /** Returns why the request may not be sent again, its budget and room aside. */
+  private Optional<ResendDenial> denial(Verdict verdict, int runsSoFar) {
+    if (headSent && !(route.kind().idempotent() && route.kind().streamed())) {
+      return Optional.of(ResendDenial.NOT_RESUMABLE);
+    }
+    if (quarantine.isQuarantined()) {
+      return Optional.of(ResendDenial.QUARANTINED);
+    }
+    return resendDenial(verdict, runsSoFar);
+  }
+
+  private Optional<ResendDenial> resendDenial(Verdict verdict, int runsSoFar) {
+    if (now() >= endsAt) {
+      return Optional.of(ResendDenial.DEADLINE_EXCEEDED);
+    }
+    return ResendRule.denial(route.kind(), verdict, runsSoFar, route.attempts(), sends);
+  }
+
+  private void giveUp(Verdict lastVerdict, ResendDenial denial, String detail) {
+    if (headSent) {
+      close();
+      ForwardLog.cut(request, lastFailure, denial, detail, requestProgress(), context.counters());
+      answer.abort();
+      return;
+    }
+    Refusal refusal;
+    if (runs == 0 && lastVerdict == Verdict.NOT_RUN) {
+      Reason reason =
+          denial == ResendDenial.NO_CAPACITY ? Reason.NO_ENDPOINT : Reason.ENDPOINT_OVERLOADED;
+      refusal = Refusal.before(reason, detail).withRetryAfter(retryAfter());
+    } else {
+      refusal = Refusal.mayHaveRun(Reason.ENDPOINT_LOST, detail);
+    }
+    close();
+    refuse(refusal);
+  }
+
+  private RequestProgress requestProgress() {
+    long progressAt = sends == 0 ? startedAt : progress.lastProgress();
+    return new RequestProgress(
+        lastSentTo,
+        sends,
+        Duration.ofNanos(now() - startedAt),
+        Duration.ofNanos(now() - progressAt));
+  }
+
+  private Duration retryAfter() {
+    Duration untilOpen = selector.openings().untilFirst(now());
+    return patience.retryAfter(
+        queue.expectedWait(), untilOpen, now(), context.random().nextDouble());
+  }
+
+  private void onDeadline() {
+    if (done) {
+      return;
+    }
+    boolean mayRunNow = attempt.filter(RunningAttempt::mayHaveArrived).isPresent();
+    attempt.ifPresent(RunningAttempt::cancel);
+    if (headSent) {
+      lastFailure = AttemptFailure.DEADLINE_EXCEEDED;
+      giveUp(Verdict.RAN, ResendDenial.DEADLINE_EXCEEDED, "the time limit passed");
+      return;
+    }
+    close();
+    Refusal refusal =
+        runs == 0 && !mayRunNow
+            ? Refusal.before(Reason.NOT_STARTED_IN_TIME, "no place").withRetryAfter(retryAfter())
+            : Refusal.mayHaveRun(Reason.DEADLINE, "the time limit passed");
+    refuse(refusal);
+  }
+
+  @Override
+  public void disconnected() {
+    if (done) {
+      return;
+    }
+    attempt.ifPresent(RunningAttempt::cancel);
+    context.counters().count(Metric.REFUSALS, Reason.CALLER_GONE.code());
+    close();
+  }
+
+  private void close() {
+    done = true;
+    cancelPrevious();
+    selector.release();
+    limitTimer.cancel();
+    progress.stop();
+    leaveQueue();
+    onDone.accept(this);
+  }
+
+  /** Moves off an engine that will end soon; a request that it took first stays to the end. */
+  void engineLeaving(TrackedEndpoint engine) {
+    if (uses(engine) && selector.target() != engine) {
+      repairs.migrateFrom(engine);
+    }
+  }
+
+  /**
+   * Goes on without an engine that is believed dead, unless the answer itself shows that it lives.
+   */
+  void engineSuspected(TrackedEndpoint engine) {
+    if (!uses(engine)) {
+      return;
+    }
+    boolean delivers = headSent && progress.isRecent();
+    if (engine.processGone() || !delivers) {
+      bypass(engine);
+    }
+  }
+
+  /** Stays after all: the engine answers again. */
+  void engineRecovered(TrackedEndpoint engine) {
+    failover.engineRecovered(engine);
+  }
+
+  private void bypass(TrackedEndpoint engine) {
+    if (selector.target() != engine) {
+      repairs.bypass(engine, "lost " + engine);
+    } else if (mayAbort()) {
+      startFailover(AttemptFailure.ENGINE_SUSPECTED, engine, engine.toString());
+    }
+  }
+
+  /** Returns whether the request may be broken off at its endpoint without a loss for good. */
+  private boolean mayAbort() {
+    // An engine is often known to be dead before the connection to it is given up.
+    return route.kind().idempotent() || !running().mayHaveArrived();
+  }
+
+  /** Goes on without an endpoint whose process has ended: it can't answer any more. */
+  void endpointEnded(TrackedEndpoint endpoint) {
+    if (done || attempt.isEmpty()) {
+      return;
+    }
+    if (previous.filter(earlier -> earlier.attempt().endpoint() == endpoint).isPresent()) {
+      abandonPrevious();
+    }
+    if (selector.target() == endpoint) {
+      abandonEndpoint(AttemptFailure.ENDPOINT_RESTARTED, endpoint.toString());
+    } else if (selector.uses(endpoint)) {
+      repairs.bypass(endpoint, "ended " + endpoint);
+    }
+  }
+
+  private boolean uses(TrackedEndpoint engine) {
+    return !done && selector.uses(engine);
+  }
+
+  /** What repairs of the path ask of this request. */
+  private final class RepairCallbacks implements PathRepairs.Callbacks {
+    @Override
+    public RunningAttempt running() {
+      return ForwardedRequest.this.running();
+    }
+
+    @Override
+    public boolean isCurrent(RunningAttempt wanted) {
+      return ForwardedRequest.this.isCurrent(wanted);
+    }
+
+    @Override
+    public boolean mayAbort() {
+      return ForwardedRequest.this.mayAbort();
+    }
+
+    @Override
+    public void lost(TrackedEndpoint engine) {
+      recordDetectionTime();
+      noteLost(engine);
+    }
+
+    @Override
+    public void repaired() {
+      progress.reset();
+      failover.stop();
+      quarantine.started();
+    }
+
+    @Override
+    public void failOverFrom(TrackedEndpoint lost, AttemptFailure failure, String cause) {
+      // Even if it has ended: an order without an answer may have taken it off the path before.
+      startFailover(failure, lost, cause);
+    }
+  }
+
+  private void startFailover(AttemptFailure failure, TrackedEndpoint unresponsive, String cause) {
+    if (failover.isActive()) {
+      return;
+    }
+    recordDetectionTime();
+    Duration wait = Duration.ZERO;
+    if (running().mayHaveArrived() && quarantine.isOneLossShort()) {
+      noteLost(selector.target());
+      wait = FAILURE_DETECTION_DELAY;
+    }
+    failover.start(new Trigger(failure, unresponsive, cause), wait);
+  }
+
+  /** What a search for another place asks of this request. */
+  private final class FailoverCallbacks implements Failover.Callbacks {
+    @Override
+    public Optional<ResendDenial> denialIfAbandoned() {
+      return ForwardedRequest.this.denialIfAbandoned();
+    }
+
+    @Override
+    public void acquireEndpoint() {
+      ForwardedRequest.this.acquireEndpoint();
+    }
+
+    @Override
+    public void leaveQueue() {
+      ForwardedRequest.this.leaveQueue();
+    }
+
+    @Override
+    public void denied(Trigger trigger, ResendDenial denial) {
+      stayOrFail(trigger, denial);
+    }
+  }
+
+  private Optional<ResendDenial> denialIfAbandoned() {
+    Verdict verdict = running().verdictIfAbandoned();
+    Optional<ResendDenial> denial = denial(verdict, verdict == Verdict.NOT_RUN ? runs : runs + 1);
+    boolean spent = denial.isEmpty() && !context.budget().canSpend();
+    return spent ? Optional.of(ResendDenial.BUDGET_EXHAUSTED) : denial;
+  }
+
+  /** Leaves the attempt for one at another place, if there is one now. */
+  private boolean failOver() {
+    boolean delivers = headSent && running().mayHaveArrived() && previous.isEmpty();
+    if (!delivers) {
+      return replaceAttempt();
+    }
+    boolean unknown = failover.trigger().failure() == AttemptFailure.REQUEST_UNKNOWN;
+    return startConcurrentAttempt() || (unknown && replaceAttempt());
+  }
+
+  private boolean replaceAttempt() {
+    Trigger abandoned = failover.trigger();
+    TrackedEndpoint endpoint = selector.target();
+    if (!selector.select()) {
+      return false;
+    }
+    context.budget().spend();
+    String detail = abortAttempt(abandoned, endpoint);
+    logSentAgain(endpoint.toString(), abandoned.failure(), detail);
+    send();
+    return true;
+  }
+
+  /** Begins at another place while the present attempt goes on, as that may not take it. */
+  private boolean startConcurrentAttempt() {
+    Optional<EndpointSelector.Selection> taken = selector.selectAdditional();
+    if (taken.isEmpty()) {
+      return false;
+    }
+    context.budget().spend();
+    Trigger abandoned = failover.trigger();
+    previous =
+        Optional.of(new PreviousAttempt(running(), taken.get(), splitter.takePartial(), abandoned));
+    closeAttempt(running().verdictIfAbandoned(), abandoned.failure(), abandoned.cause());
+    logSentAgain(taken.get().target().toString(), abandoned.failure(), abandoned.cause());
+    send();
+    return true;
+  }
+
+  /**
+   * The former attempt is the present one again; what its successor would have said is not read.
+   */
+  private void supersedeReplacement() {
+    Verdict verdict = running().verdictIfAbandoned();
+    running().cancel();
+    closeAttempt(verdict, AttemptFailure.SUPERSEDED, "the former endpoint answers");
+    context.counters().count(Metric.DROPPED_ANSWERS, AttemptFailure.SUPERSEDED.code());
+    restorePrevious();
+  }
+
+  /** Goes on with the former attempt, as its successor came to nothing, and seeks another again. */
+  private void fallBackToPrevious(Verdict verdict) {
+    Trigger abandoned = restorePrevious().abandoned();
+    boolean lost = abandoned.unresponsive().suspected() || abandoned.unresponsive().hasEnded();
+    if (lost) {
+      Duration wait =
+          verdict == Verdict.NOT_RUN || !quarantine.isOneLossShort()
+              ? Duration.ZERO
+              : FAILURE_DETECTION_DELAY;
+      failover.start(abandoned, wait);
+    }
+  }
+
+  private PreviousAttempt restorePrevious() {
+    PreviousAttempt resumed = previous.orElseThrow();
+    previous = Optional.empty();
+    attempt = Optional.of(resumed.attempt());
+    runs--;
+    selector.revertTo(resumed.selector());
+    splitter.restorePartial(resumed.partOfEvent());
+    progress.previousResumed();
+    resumed.attempt().resume();
+    return resumed;
+  }
+
+  /** Breaks the former attempt off: its successor is answered. */
+  private void abandonPrevious() {
+    previous.ifPresent(
+        abandoned -> {
+          if (abandoned.attempt().mayHaveArrived()) {
+            noteLost(abandoned.attempt(), abandoned.attempt().endpoint());
+          }
+          cancelPrevious();
+        });
+  }
+
+  private void cancelPrevious() {
+    previous.ifPresent(
+        abandoned -> {
+          abandoned.attempt().cancel();
+          selector.release(abandoned.selector());
+        });
+    previous = Optional.empty();
+  }
+
+  private void previousFailed(Throwable cause) {
+    RunningAttempt failed = previous.orElseThrow().attempt();
+    noteLost(failed, failed.endpoint());
+    cancelPrevious();
+    noteFailure(cause, failed.endpoint());
+  }
+
+  private boolean isPrevious(RunningAttempt wanted) {
+    return !done && previous.filter(earlier -> earlier.attempt() == wanted).isPresent();
+  }
+
+  /** Breaks the attempt off at an endpoint; returns the cause with what was dropped. */
+  private String abortAttempt(Trigger abandoned, TrackedEndpoint endpoint) {
+    Verdict verdict = running().verdictIfAbandoned();
+    if (verdict == Verdict.MAY_HAVE_RUN) {
+      noteLost(endpoint);
+    }
+    running().cancel();
+    return closeAttempt(verdict, abandoned.failure(), abandoned.cause());
+  }
+
+  /**
+   * Remains at an endpoint that gives no sign of life.
+   *
+   * <p>A caller that has no part of the answer yet and may ask again itself is told at once.
+   */
+  private void stayOrFail(Trigger wanted, ResendDenial denial) {
+    if (headSent || !mayAbort()) {
+      failover.runOncePerFailover(
+          () ->
+              ForwardLog.stayed(
+                  request, wanted.failure(), denial, requestProgress(), context.counters()));
+      return;
+    }
+    Verdict verdict = running().verdictIfAbandoned();
+    abortAttempt(wanted, selector.target());
+    selector.release();
+    giveUp(verdict, denial, wanted.failure().code() + ": " + wanted.cause());
+  }
+
+  private RunningAttempt running() {
+    return attempt.orElseThrow();
+  }
+
+  private boolean isCurrent(RunningAttempt wanted) {
+    return !done && attempt.filter(present -> present == wanted).isPresent();
+  }
+
+  /** Looks again whether the request can go on elsewhere, as it stands still. */
+  private void stalled() {
+    if (done || attempt.isEmpty()) {
+      return;
+    }
+    if (failover.isActive()) {
+      failover.retry();
+      return;
+    }
+    for (TrackedEndpoint engine : selector.suspected()) {
+      // What was done about one engine may have changed the path.
+      if (!failover.isActive() && uses(engine)) {
+        bypass(engine);
+      }
+    }
+  }
+
+  /** Breaks the attempt off; what follows is up to what may have run. */
+  private void abandonEndpoint(AttemptFailure failure, String cause) {
+    Verdict verdict = running().verdictIfAbandoned();
+    if (verdict == Verdict.MAY_HAVE_RUN) {
+      noteLost(selector.target());
+    }
+    running().cancel();
+    attemptEnded(verdict, failure, cause);
+  }
+
+  private void recordDetectionTime() {
+    Duration silence = Duration.ofNanos(now() - progress.lastProgress());
+    context.counters().record(Metric.DETECTION_TIME, silence);
+  }
+
+  private void noteLost(TrackedEndpoint endpoint) {
+    noteLost(running(), endpoint);
+  }
+
+  /** Notes that an endpoint was lost that has an attempt, or runs part of its path. */
+  private void noteLost(RunningAttempt abandoned, TrackedEndpoint endpoint) {
+    long now = now();
+    Duration sinceSent = Duration.ofNanos(now - abandoned.sentAt());
+    quarantine.lost(endpoint, sinceSent, abandoned.sinceFirstPart(now));
+  }
+
+  /** Takes note that requests of a content are held back: one that waits is refused at once. */
+  void quarantined(RequestContent content) {
+    if (!done && !selector.isSelected() && quarantine.hasContent(content)) {
+      refuseQuarantined();
+    }
+  }
+
+  private void refuseQuarantined() {
+    if (headSent || runs > 0) {
+      giveUp(Verdict.MAY_HAVE_RUN, ResendDenial.QUARANTINED, "held back");
+      return;
+    }
+    close();
+    refuse(quarantine.refusal());
+  }
+
+  private void refuse(Refusal refusal) {
+    ForwardLog.refused(request, refusal, requestProgress(), context.counters());
+    answer.refuse(refusal);
+  }
+
+  private long now() {
+    return context.clock().currentTime(NANOSECONDS);
+  }
+}
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
@@ -30,22 +30,22 @@
 /** Takes requests in and forwards those that the configuration allows. */
 public final class Forwarder {
   /** A caller that comes back on a new connection reaches another node, which may serve at once. */
-  private static final Duration COME_BACK_SOON = Duration.ofMillis(100);
+  private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
   /** An engine that announces its end goes on for two seconds or more. */
-  private static final Duration MOVE_OFF = Duration.ofMillis(800);
+  private static final Duration MIGRATION_DELAY = Duration.ofMillis(800);
 
   /** How long and how often a request waits for the first configuration after a start. */
-  private static final Duration START_WAIT = Duration.ofMillis(400);
+  private static final Duration CONFIGURATION_TIMEOUT = Duration.ofMillis(400);
 
-  private static final Duration START_RETRY = Duration.ofMillis(20);
+  private static final Duration CONFIGURATION_POLL_INTERVAL = Duration.ofMillis(20);
 
   private final Executor clock;
   private final ForwardContext context;
   private final Supplier<Optional<EntryConfiguration>> configuration;
   private final Predicate<Duration> confirmedWithin;
   private Duration keyFreshness;
-  private final Set<ForwardRun> running = new LinkedHashSet<>();
+  private final Set<ForwardedRequest> inFlight = new LinkedHashSet<>();
   private boolean stopping;
 
   private Forwarder(
@@ -60,17 +60,20 @@
     this.keyFreshness = checkNotNull(keyFreshness);
     context
         .fleet()
-        .onSuspicion(engine -> ImmutableList.copyOf(running).forEach(run -> run.suspected(engine)));
+        .onSuspicion(
+            engine -> ImmutableList.copyOf(inFlight).forEach(run -> run.engineSuspected(engine)));
     context
         .fleet()
-        .onRecovery(engine -> ImmutableList.copyOf(running).forEach(run -> run.recovered(engine)));
+        .onRecovery(
+            engine -> ImmutableList.copyOf(inFlight).forEach(run -> run.engineRecovered(engine)));
     context
         .fleet()
-        .onEnd(endpoint -> ImmutableList.copyOf(running).forEach(run -> run.ended(endpoint)));
-    context.fleet().onLeaving(this::moveOff);
+        .onEnd(
+            endpoint -> ImmutableList.copyOf(inFlight).forEach(run -> run.endpointEnded(endpoint)));
+    context.fleet().onLeaving(this::migrateFrom);
     context
         .quarantine()
-        .onHold(content -> ImmutableList.copyOf(running).forEach(run -> run.heldBack(content)));
+        .onHold(content -> ImmutableList.copyOf(inFlight).forEach(run -> run.quarantined(content)));
   }
 
   /**
@@ -104,7 +107,7 @@
             health,
             control,
             calls,
-            new WaitingLines(clock),
+            new CapacityQueues(clock),
             ResendBudget.of(limits, sharingNodes),
             quarantine.quarantine(),
             quarantine.endpoints(),
@@ -124,24 +127,25 @@
     if (configuration.get().isPresent()) {
       return admit(request, answer);
     }
-    HeldRequest held = new HeldRequest();
-    waitForConfiguration(request, answer, held, clock.currentTime(NANOSECONDS));
-    return held;
+    PendingRequest pending = new PendingRequest();
+    waitForConfiguration(request, answer, pending, clock.currentTime(NANOSECONDS));
+    return pending;
   }
 
   private void waitForConfiguration(
-      CallerRequest request, CallerResponse answer, HeldRequest held, long since) {
-    if (held.isGone()) {
+      CallerRequest request, CallerResponse answer, PendingRequest pending, long arrivedAt) {
+    if (pending.isDisconnected()) {
       return;
     }
-    boolean over = clock.currentTime(NANOSECONDS) - since >= START_WAIT.toNanos();
-    if (configuration.get().isPresent() || over) {
-      held.goOnAs(admit(request, answer));
+    boolean timedOut =
+        clock.currentTime(NANOSECONDS) - arrivedAt >= CONFIGURATION_TIMEOUT.toNanos();
+    if (configuration.get().isPresent() || timedOut) {
+      pending.delegateTo(admit(request, answer));
       return;
     }
     clock.schedule(
-        () -> waitForConfiguration(request, answer, held, since),
-        START_RETRY.toNanos(),
+        () -> waitForConfiguration(request, answer, pending, arrivedAt),
+        CONFIGURATION_POLL_INTERVAL.toNanos(),
         NANOSECONDS);
   }
 
@@ -167,26 +171,26 @@
     if (keyed && caller.isEmpty()) {
       return refuse(request, answer, Reason.UNKNOWN_KEY, "route " + route.get().name());
     }
-    ForwardRun run =
-        ForwardRun.create(
+    ForwardedRequest run =
+        ForwardedRequest.create(
             context,
             configured,
             route.get(),
             keyed ? caller : Optional.empty(),
             request,
             answer,
-            running::remove);
-    running.add(run);
+            inFlight::remove);
+    inFlight.add(run);
     context.counters().count(Metric.REQUESTS, route.get().kind().name());
     run.start();
     return run;
   }
 
   /** Moves requests off an engine that is leaving; those that end soon are left to end. */
-  private void moveOff(TrackedEndpoint engine) {
+  private void migrateFrom(TrackedEndpoint engine) {
     clock.schedule(
-        () -> ImmutableList.copyOf(running).forEach(run -> run.leaving(engine)),
-        MOVE_OFF.toNanos(),
+        () -> ImmutableList.copyOf(inFlight).forEach(run -> run.engineLeaving(engine)),
+        MIGRATION_DELAY.toNanos(),
         NANOSECONDS);
   }
 
@@ -197,7 +201,7 @@
 
   /** Returns how many requests are in flight. */
   public int inFlight() {
-    return running.size();
+    return inFlight.size();
   }
 
   /** Refuses new requests from now on; those in flight go on. */
@@ -209,10 +213,10 @@
       CallerRequest request, CallerResponse answer, Reason reason, String detail) {
     Refusal refusal = Refusal.before(reason, detail);
     if (reason.status() == 503) {
-      refusal = refusal.withRetryAfter(COME_BACK_SOON);
+      refusal = refusal.withRetryAfter(RETRY_AFTER);
     }
-    ForwardLog.refused(request, refusal, Trail.none(), context.counters());
+    ForwardLog.refused(request, refusal, RequestProgress.none(), context.counters());
     answer.refuse(refusal);
-    return new HeldRequest();
+    return new PendingRequest();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathRepairs.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathRepairs.java
@@ -14,18 +14,18 @@
  */
 final class PathRepairs {
   /** Orders for another path after the loss of one engine. */
-  private static final int MAX_REPATHS = 5;
+  private static final int MAX_PATH_CHANGES = 5;
 
   /** The request whose path is repaired. */
-  interface Owner {
+  interface Callbacks {
     /** Returns the present attempt; there must be one. */
     RunningAttempt running();
 
     /** Returns whether an attempt is the present one. */
-    boolean isPresent(RunningAttempt attempt);
+    boolean isCurrent(RunningAttempt attempt);
 
     /** Returns whether the request may be broken off without a loss for good. */
-    boolean mayBreakOff();
+    boolean mayAbort();
 
     /** Takes note that an engine of the path was lost. */
     void lost(TrackedEndpoint engine);
@@ -34,97 +34,101 @@
     void repaired();
 
     /** Seeks another place, as the path lacks an engine and may take no other. */
-    void leaveWithout(TrackedEndpoint lost, AttemptEnd end, String cause);
+    void failOverFrom(TrackedEndpoint lost, AttemptFailure failure, String cause);
   }
 
   private final ForwardContext context;
   private final CallerRequest request;
-  private final Place place;
-  private final ContentGuard guard;
-  private final Owner owner;
+  private final EndpointSelector selector;
+  private final RequestQuarantine quarantine;
+  private final Callbacks callbacks;
 
   /** Engines of the present attempt's path whose layers others are to run. */
   private final Set<TrackedEndpoint> beingReplaced = new HashSet<>();
 
   PathRepairs(
-      ForwardContext context, CallerRequest request, Place place, ContentGuard guard, Owner owner) {
+      ForwardContext context,
+      CallerRequest request,
+      EndpointSelector selector,
+      RequestQuarantine quarantine,
+      Callbacks callbacks) {
     this.context = checkNotNull(context);
     this.request = checkNotNull(request);
-    this.place = checkNotNull(place);
-    this.guard = checkNotNull(guard);
-    this.owner = checkNotNull(owner);
+    this.selector = checkNotNull(selector);
+    this.quarantine = checkNotNull(quarantine);
+    this.callbacks = checkNotNull(callbacks);
   }
 
   /** Moves off an engine that will end soon. */
-  void moveOff(TrackedEndpoint leaving) {
+  void migrateFrom(TrackedEndpoint leaving) {
     // A request that is held back is not begun anywhere else while it runs.
-    if (!guard.isHeldBack()) {
+    if (!quarantine.isQuarantined()) {
       replace(leaving, "leaving " + leaving);
     }
   }
 
   /** Goes on without an engine that is lost, unless that is under way. */
-  void goOnWithout(TrackedEndpoint lost, String cause) {
+  void bypass(TrackedEndpoint lost, String cause) {
     if (!beingReplaced.add(lost)) {
       return;
     }
-    owner.lost(lost);
-    if (guard.isHeldBack()) {
-      leave(lost, AttemptEnd.HELD_BACK, cause);
+    callbacks.lost(lost);
+    if (quarantine.isQuarantined()) {
+      startFailover(lost, AttemptFailure.QUARANTINED, cause);
     } else {
       replace(lost, cause);
     }
   }
 
   /** Forgets the path of an attempt that is over. */
-  void attemptOver() {
+  void attemptEnded() {
     beingReplaced.clear();
   }
 
-  private void leave(TrackedEndpoint lost, AttemptEnd end, String cause) {
+  private void startFailover(TrackedEndpoint lost, AttemptFailure failure, String cause) {
     beingReplaced.remove(lost);
-    owner.leaveWithout(lost, end, cause);
+    callbacks.failOverFrom(lost, failure, cause);
   }
 
   private void replace(TrackedEndpoint lost, String cause) {
-    RunningAttempt attempt = owner.running();
+    RunningAttempt attempt = callbacks.running();
     new PathReplacement(
             context,
             request,
-            place,
+            selector,
             lost,
             cause,
-            () -> owner.isPresent(attempt) && place.passes(lost),
-            guard::isHeldBack,
-            MAX_REPATHS,
-            new Replacing(lost))
-        .begin();
+            () -> callbacks.isCurrent(attempt) && selector.uses(lost),
+            quarantine::isQuarantined,
+            MAX_PATH_CHANGES,
+            new ReplacementCallbacks(lost))
+        .start();
   }
 
-  private final class Replacing implements PathReplacement.Owner {
+  private final class ReplacementCallbacks implements PathReplacement.Callbacks {
     private final TrackedEndpoint lost;
 
-    Replacing(TrackedEndpoint lost) {
+    ReplacementCallbacks(TrackedEndpoint lost) {
       this.lost = lost;
     }
 
     @Override
     public void replaced(EnginePath next) {
-      place.replace(next);
+      selector.replace(next);
       beingReplaced.remove(lost);
-      owner.repaired();
+      callbacks.repaired();
     }
 
     @Override
-    public boolean mayBeginElsewhere(TrackedEndpoint engine) {
+    public boolean mayFailOver(TrackedEndpoint engine) {
       // An engine that is only leaving still works; its end will show.
       boolean isLost = engine.suspected() || engine.hasEnded();
-      return isLost && owner.mayBreakOff();
+      return isLost && callbacks.mayAbort();
     }
 
     @Override
-    public void beginElsewhere(AttemptEnd end) {
-      leave(lost, end, "no other path was accepted");
+    public void failOver(AttemptFailure failure) {
+      startFailover(lost, failure, "no other path was accepted");
     }
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
@@ -22,36 +22,36 @@
  */
 final class PathReplacement {
   /** Places on other engines come free within this time. */
-  private static final Duration RETRY = Duration.ofMillis(150);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(150);
 
   /** An engine that was in the way of a new path is avoided for its report's lag. */
-  private static final Duration OBSTACLE_PAUSE = Duration.ofMillis(200);
+  private static final Duration OBSTACLE_BACKOFF = Duration.ofMillis(200);
 
   /** The node's request whose path is changed. */
-  interface Owner {
+  interface Callbacks {
     /** The first engine accepted the path. */
     void replaced(EnginePath next);
 
     /** Returns whether the request may be begun at other engines instead. */
-    boolean mayBeginElsewhere(TrackedEndpoint lost);
+    boolean mayFailOver(TrackedEndpoint lost);
 
     /**
      * Begins the request at other engines.
      *
      * @param end why the present attempt is to be left
      */
-    void beginElsewhere(AttemptEnd end);
+    void failOver(AttemptFailure failure);
   }
 
   private final ForwardContext context;
   private final CallerRequest request;
-  private final Place place;
+  private final EndpointSelector selector;
   private final TrackedEndpoint lost;
   private final String cause;
-  private final BooleanSupplier stillWanted;
-  private final BooleanSupplier heldBack;
-  private final Owner owner;
-  private int triesLeft;
+  private final BooleanSupplier stillRelevant;
+  private final BooleanSupplier quarantined;
+  private final Callbacks callbacks;
+  private int attemptsLeft;
 
   /**
    * Makes a replacement that does nothing before {@link #begin}.
@@ -65,87 +65,87 @@
   PathReplacement(
       ForwardContext context,
       CallerRequest request,
-      Place place,
+      EndpointSelector selector,
       TrackedEndpoint lost,
       String cause,
-      BooleanSupplier stillWanted,
-      BooleanSupplier heldBack,
-      int tries,
-      Owner owner) {
+      BooleanSupplier stillRelevant,
+      BooleanSupplier quarantined,
+      int attempts,
+      Callbacks callbacks) {
     this.context = context;
     this.request = request;
-    this.place = place;
+    this.selector = selector;
     this.lost = lost;
     this.cause = cause;
-    this.stillWanted = stillWanted;
-    this.heldBack = heldBack;
-    this.triesLeft = tries;
-    this.owner = owner;
+    this.stillRelevant = stillRelevant;
+    this.quarantined = quarantined;
+    this.attemptsLeft = attempts;
+    this.callbacks = callbacks;
   }
 
-  void begin() {
-    order(ImmutableList.of(lost));
+  void start() {
+    requestPathChange(ImmutableList.of(lost));
   }
 
-  private void order(ImmutableList<TrackedEndpoint> without) {
-    if (triesLeft <= 0 || heldBack.getAsBoolean()) {
-      refused(AttemptEnd.PATH_LOST);
+  private void requestPathChange(ImmutableList<TrackedEndpoint> without) {
+    if (attemptsLeft <= 0 || quarantined.getAsBoolean()) {
+      fail(AttemptFailure.PATH_LOST);
       return;
     }
-    if (!context.fleet().statements().admits(place.target(), CallPurpose.PATH_CHANGE)) {
+    if (!context.fleet().statements().admits(selector.target(), CallPurpose.PATH_CHANGE)) {
       ForwardLog.pathChanged(request, cause, "the first engine wants no calls", "");
-      beginElsewhereOrRetry();
+      failOverOrRetry();
       return;
     }
-    triesLeft--;
-    Optional<EnginePath> next = place.another(without);
+    attemptsLeft--;
+    Optional<EnginePath> next = selector.alternativePath(without);
     if (next.isEmpty()) {
       ForwardLog.pathChanged(request, cause, "no other path", "");
       retryLater();
       return;
     }
     String text = next.get().text();
-    context.fleet().statements().noteCall(place.target(), CallPurpose.PATH_CHANGE);
+    context.fleet().statements().noteCall(selector.target(), CallPurpose.PATH_CHANGE);
     Async.onDone(
-        context.control().repath(place.target().endpoint(), request.id(), text),
+        context.control().repath(selector.target().endpoint(), request.id(), text),
         context.clock(),
         (outcome, failure) -> {
-          if (stillWanted.getAsBoolean()) {
+          if (stillRelevant.getAsBoolean()) {
             ForwardLog.pathChanged(request, cause, failure == null ? outcome : failure, text);
-            answered(next.get(), outcome, failure);
+            onOutcome(next.get(), outcome, failure);
           }
         });
   }
 
-  private void answered(EnginePath next, RepathOutcome outcome, Throwable failure) {
+  private void onOutcome(EnginePath next, RepathOutcome outcome, Throwable failure) {
     if (failure != null) {
       retryLater();
       return;
     }
-    Optional<TrackedEndpoint> obstacle = outcome.obstacle().flatMap(place::engineAt);
+    Optional<TrackedEndpoint> obstacle = outcome.obstacle().flatMap(selector::engineAt);
     if (outcome.kind() == RepathOutcome.Kind.ACCEPTED) {
-      owner.replaced(next);
+      callbacks.replaced(next);
     } else if (outcome.kind() == RepathOutcome.Kind.UNKNOWN_REQUEST) {
-      refused(AttemptEnd.REQUEST_UNKNOWN);
+      fail(AttemptFailure.REQUEST_UNKNOWN);
     } else if (obstacle.isPresent()) {
       long now = context.clock().currentTime(NANOSECONDS);
-      obstacle.get().avoidUntil(now + OBSTACLE_PAUSE.toNanos());
+      obstacle.get().avoidUntil(now + OBSTACLE_BACKOFF.toNanos());
       obstacle.get().noteShortage(now);
-      order(ImmutableList.of(lost, obstacle.get()));
+      requestPathChange(ImmutableList.of(lost, obstacle.get()));
     } else {
       retryLater();
     }
   }
 
-  private void refused(AttemptEnd end) {
-    if (owner.mayBeginElsewhere(lost)) {
-      owner.beginElsewhere(end);
+  private void fail(AttemptFailure failure) {
+    if (callbacks.mayFailOver(lost)) {
+      callbacks.failOver(failure);
     }
   }
 
-  private void beginElsewhereOrRetry() {
-    if (owner.mayBeginElsewhere(lost)) {
-      owner.beginElsewhere(AttemptEnd.PATH_LOST);
+  private void failOverOrRetry() {
+    if (callbacks.mayFailOver(lost)) {
+      callbacks.failOver(AttemptFailure.PATH_LOST);
     } else {
       retryLater();
     }
@@ -156,11 +156,11 @@
         .clock()
         .schedule(
             () -> {
-              if (stillWanted.getAsBoolean()) {
-                order(ImmutableList.of(lost));
+              if (stillRelevant.getAsBoolean()) {
+                requestPathChange(ImmutableList.of(lost));
               }
             },
-            RETRY.toNanos(),
+            RETRY_DELAY.toNanos(),
             NANOSECONDS);
   }
 }
--- /dev/null
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PendingRequest.java
@@ -0,0 +1,28 @@
+package org.vaneworks.coordination.forwarding;
+
+import java.util.Optional;
+
+/** A request that waits to be admitted, or was refused: remembers whether its caller has left. */
+final class PendingRequest implements CallerResponse.Listener {
+  private Optional<CallerResponse.Listener> delegate = Optional.empty();
+  private boolean disconnected;
+
+  boolean isDisconnected() {
+    return disconnected;
+  }
+
+  void delegateTo(CallerResponse.Listener flow) {
+    delegate = Optional.of(flow);
+  }
+
+  @Override
+  public void drained() {
+    delegate.ifPresent(CallerResponse.Listener::drained);
+  }
+
+  @Override
+  public void disconnected() {
+    disconnected = true;
+    delegate.ifPresent(CallerResponse.Listener::disconnected);
+  }
+}
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressWatch.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
@@ -16,18 +16,18 @@
  * costs nothing. A look that comes late is no proof of a silence, as events may lie unread: it is
  * taken again once they are read. Confined to the node's event loop.
  */
-final class ProgressWatch {
+final class ProgressMonitor {
   /** A pause without an event after which the engines are asked for a sign of life. */
-  private static final Duration STALL = Duration.ofMillis(250);
+  private static final Duration STALL_TIMEOUT = Duration.ofMillis(250);
 
   /** The same before the first event, which waits for the prompt to be read. */
-  private static final Duration FIRST_STALL = Duration.ofMillis(350);
+  private static final Duration FIRST_EVENT_STALL_TIMEOUT = Duration.ofMillis(350);
 
   /** An engine through which a request made progress this lately is alive, and not slow. */
-  private static final Duration FAST_LATELY = Duration.ofMillis(300);
+  private static final Duration RECENT_PROGRESS = Duration.ofMillis(300);
 
   private final ForwardContext context;
-  private final Place place;
+  private final EndpointSelector selector;
   private final long longPauseNanos;
   private final Runnable onStall;
   private Cancellable timer = () -> {};
@@ -37,7 +37,7 @@
   private long checkDueAt;
 
   /** Looks in a row that came too late to prove a silence. */
-  private int uncounted;
+  private int ignoredStalls;
 
   /**
    * Makes a watch that does nothing before {@link #sent}.
@@ -45,10 +45,14 @@
    * @param pauseObjective the longest pause between events that is aimed at
    * @param onStall called now and then while the request stands still, before engines are asked
    */
-  ProgressWatch(ForwardContext context, Place place, Duration pauseObjective, Runnable onStall) {
+  ProgressMonitor(
+      ForwardContext context,
+      EndpointSelector selector,
+      Duration pauseObjective,
+      Runnable onStall) {
     this.onStall = onStall;
     this.context = context;
-    this.place = place;
+    this.selector = selector;
     // Two thirds: a pause that long comes close to being late.
     this.longPauseNanos = pauseObjective.toNanos() * 2 / 3;
   }
@@ -60,7 +64,7 @@
 
   /** Returns whether the request made progress a moment ago: all its engines were alive then. */
   boolean isRecent() {
-    return now() - lastProgress < STALL.toNanos();
+    return now() - lastProgress < STALL_TIMEOUT.toNanos();
   }
 
   /**
@@ -69,33 +73,33 @@
    * @param resumes whether it continues an answer, whose caller has been waiting since the last
    *     event
    */
-  void sent(boolean resumes) {
+  void attemptStarted(boolean resumes) {
     awaitsHead = true;
     if (!resumes) {
       lastProgress = now();
     }
-    watch();
+    scheduleCheck();
   }
 
   /** Watches a former attempt again, whose head came. */
-  void returned() {
+  void previousResumed() {
     awaitsHead = false;
-    watch();
+    scheduleCheck();
   }
 
-  void head() {
+  void headReceived() {
     awaitsHead = false;
     shortPauseBefore = false;
     lastProgress = now();
   }
 
   /** Takes note of a change after which the engines need time again. */
-  void restarted() {
+  void reset() {
     lastProgress = now();
   }
 
   /** Takes note of a part of the answer. */
-  void data() {
+  void partReceived() {
     long now = now();
     // Head and first event come together, and events that were held up too: one short pause proves
     // nothing.
@@ -103,11 +107,11 @@
     boolean fast = shortPause && shortPauseBefore;
     shortPauseBefore = shortPause;
     lastProgress = now;
-    if (place.path().isEmpty()) {
+    if (selector.path().isEmpty()) {
       return;
     }
-    for (PathPart part : place.path().get().parts()) {
-      boolean fastLately = now - part.engine().lastFastProgress() < FAST_LATELY.toNanos();
+    for (PathPart part : selector.path().get().parts()) {
+      boolean fastLately = now - part.engine().lastFastProgress() < RECENT_PROGRESS.toNanos();
       if (!shortPause && !fastLately) {
         context.health().checkPace(part.engine());
       }
@@ -119,13 +123,13 @@
     timer.cancel();
   }
 
-  private void watch() {
+  private void scheduleCheck() {
     timer.cancel();
-    if (!place.onEngines() || !place.isTaken()) {
+    if (!selector.runsOnEngines() || !selector.isSelected()) {
       return;
     }
     long wait = stallLimit().toNanos() - (now() - lastProgress);
-    long atLeast = STALL.toNanos() / 2;
+    long atLeast = STALL_TIMEOUT.toNanos() / 2;
     checkAfter(Math.max(wait, atLeast));
   }
 
@@ -135,34 +139,34 @@
   }
 
   private Duration stallLimit() {
-    return awaitsHead ? FIRST_STALL : STALL;
+    return awaitsHead ? FIRST_EVENT_STALL_TIMEOUT : STALL_TIMEOUT;
   }
 
   private void check() {
-    Duration late = Duration.ofNanos(now() - checkDueAt);
-    context.counters().record(Metric.LATE_CHECKS, late);
-    if (place.path().isEmpty()) {
+    Duration delay = Duration.ofNanos(now() - checkDueAt);
+    context.counters().record(Metric.LATE_CHECKS, delay);
+    if (selector.path().isEmpty()) {
       return;
     }
     boolean stalled = now() - lastProgress >= stallLimit().toNanos();
-    if (stalled && OwnDelay.excuses(late, uncounted)) {
-      uncounted++;
+    if (stalled && OwnDelay.excuses(delay, ignoredStalls)) {
+      ignoredStalls++;
       context.counters().count(Metric.UNCOUNTED_SILENCES, "look");
       checkAfter(OwnDelay.READ_FIRST.toNanos());
       return;
     }
-    uncounted = 0;
+    ignoredStalls = 0;
     if (stalled) {
-      EnginePath path = place.path().get();
+      EnginePath path = selector.path().get();
       onStall.run();
-      askForLife(path);
+      probeSilentEngines(path);
     }
-    watch();
+    scheduleCheck();
   }
 
-  private void askForLife(EnginePath path) {
+  private void probeSilentEngines(EnginePath path) {
     for (PathPart part : path.parts()) {
-      if (now() - part.engine().lastProgress() >= STALL.toNanos()) {
+      if (now() - part.engine().lastProgress() >= STALL_TIMEOUT.toNanos()) {
         context.health().check(part.engine());
       }
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Trail.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestProgress.java
@@ -12,13 +12,13 @@
  * @param sinceArrival since the request came
  * @param sinceProgress since its last sign of progress; since it came, if there was none
  */
-record Trail(
+record RequestProgress(
     Optional<TrackedEndpoint> lastSentTo,
     int sends,
     Duration sinceArrival,
     Duration sinceProgress) {
   /** The trail of a request that was refused as it came. */
-  static Trail none() {
-    return new Trail(Optional.empty(), 0, Duration.ZERO, Duration.ZERO);
+  static RequestProgress none() {
+    return new RequestProgress(Optional.empty(), 0, Duration.ZERO, Duration.ZERO);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ContentGuard.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
@@ -14,14 +14,14 @@
  * <p>The content is worked out only once an endpoint was lost under some request, so that a calm
  * node digests no bodies. Confined to the node's event loop.
  */
-final class ContentGuard {
+final class RequestQuarantine {
   private final ForwardContext context;
   private final CallerRequest request;
   private final Optional<String> workspace;
   private Optional<RequestContent> content = Optional.empty();
   private Optional<RequestStart> start = Optional.empty();
 
-  ContentGuard(ForwardContext context, CallerRequest request, Optional<String> workspace) {
+  RequestQuarantine(ForwardContext context, CallerRequest request, Optional<String> workspace) {
     this.context = context;
     this.request = request;
     this.workspace = workspace;
@@ -34,17 +34,17 @@
     return content.get();
   }
 
-  boolean asksFor(RequestContent other) {
+  boolean hasContent(RequestContent other) {
     return content().equals(other);
   }
 
   /** Returns whether the request must not be sent now. */
-  boolean isHeldBack() {
+  boolean isQuarantined() {
     return !context.quarantine().isEmpty() && context.quarantine().holds(content());
   }
 
   /** Returns whether one more end of an endpoint would hold the request back. */
-  boolean isOneEndShort() {
+  boolean isOneLossShort() {
     return !context.quarantine().isEmpty() && context.quarantine().isOneEndShort(content());
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendBudget.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendBudget.java
@@ -13,10 +13,10 @@
  */
 public final class ResendBudget {
   /** Part of the fleet's reserve that is given out: processes that restart begin anew. */
-  private static final double RESERVE_IN_USE = 0.6;
+  private static final double USABLE_RESERVE_FRACTION = 0.6;
 
   /** Part of the earned share that is given out; requests of a window may come at its end. */
-  private static final double SHARE_IN_USE = 0.8;
+  private static final double USABLE_SHARE_FRACTION = 0.8;
 
   private final IntSupplier liveNodes;
   private double share;
@@ -37,8 +37,8 @@
   /** Sets the bounds; what was spent before stays spent. */
   void limits(ForwardingLimits limits) {
     checkArgument(limits.retryShare() >= 0, "retryShare is negative: %s", limits.retryShare());
-    share = limits.retryShare() * SHARE_IN_USE;
-    fleetReserve = limits.retryReserve() * RESERVE_IN_USE;
+    share = limits.retryShare() * USABLE_SHARE_FRACTION;
+    fleetReserve = limits.retryReserve() * USABLE_RESERVE_FRACTION;
   }
 
   /** Notes a first send. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendRule.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendRule.java
@@ -32,14 +32,14 @@
    * @param attempts the greatest number of endpoints on which it may run
    * @param sends sends so far
    */
-  static Optional<Denial> denial(
+  static Optional<ResendDenial> denial(
       CallKind kind, Verdict verdict, int runs, int attempts, int sends) {
     if (sends >= MAX_SENDS) {
-      return Optional.of(Denial.SENDS_USED);
+      return Optional.of(ResendDenial.SENDS_EXHAUSTED);
     }
     if (verdict != Verdict.NOT_RUN && !kind.idempotent()) {
-      return Optional.of(Denial.NOT_REPEATABLE);
+      return Optional.of(ResendDenial.NOT_REPEATABLE);
     }
-    return runs < attempts ? Optional.empty() : Optional.of(Denial.ATTEMPTS_USED);
+    return runs < attempts ? Optional.empty() : Optional.of(ResendDenial.ATTEMPTS_EXHAUSTED);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/AnswerTimes.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResponseMetrics.java
@@ -13,7 +13,7 @@
  * <p>Attempts don't matter here: a pause in which a request was sent again counts in full. Confined
  * to the node's event loop.
  */
-final class AnswerTimes {
+final class ResponseMetrics {
   private final Counters counters;
   private final boolean streamed;
   private final long startedAt;
@@ -25,14 +25,14 @@
    * @param streamed whether the answer comes in parts that are worth something by themselves
    * @param startedAt when the request came, in ns of the node's clock
    */
-  AnswerTimes(Counters counters, boolean streamed, long startedAt) {
+  ResponseMetrics(Counters counters, boolean streamed, long startedAt) {
     this.counters = checkNotNull(counters);
     this.streamed = streamed;
     this.startedAt = startedAt;
   }
 
   /** Takes note that a part of the answer came at a time in ns. */
-  void part(long now) {
+  void recordPart(long now) {
     if (!streamed) {
       return;
     }
@@ -45,7 +45,7 @@
   }
 
   /** Takes note that the answer was whole at a time in ns. */
-  void whole(long now) {
+  void recordCompletion(long now) {
     counters.record(Metric.REQUEST_TIME, Duration.ofNanos(now - startedAt));
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RunningAttempt.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RunningAttempt.java
@@ -25,7 +25,7 @@
   }
 
   /** Takes the call that was begun for it. */
-  void began(EndpointCall begun) {
+  void setCall(EndpointCall begun) {
     call = Optional.of(begun);
   }
 
@@ -59,7 +59,7 @@
   }
 
   /** Returns what is known of it if it is left now. */
-  Verdict verdictIfLeft() {
+  Verdict verdictIfAbandoned() {
     return mayHaveArrived() ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN;
   }
 
