--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Attempt.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Attempt.java
@@ -5,14 +5,15 @@
 import org.vaneworks.coordination.fleet.FleetEndpoint;
 
 /**
- * One sending of a request to an endpoint.
+ * One attempt to run a request at an endpoint.
  *
  * @param request the caller's request
- * @param endpoint where it goes
- * @param path the engines that it passes in the wire's form; empty for a plain service
- * @param remaining how long the endpoint may work on it
- * @param workspace whose request it is; empty if the route is open
- * @param resumeAfter the last event that the caller has; empty for the caller's own position
+ * @param endpoint the endpoint that receives the request
+ * @param path the engine path in its wire format; empty for a plain service
+ * @param remaining the time left until the request's deadline
+ * @param workspace the workspace that the request belongs to; empty if the route is open
+ * @param resumeAfter the id of the last event that the caller received; empty to use the position
+ *     in the caller's own request
  */
 public record Attempt(
     CallerRequest request,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/AttemptFailure.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/AttemptFailure.java
@@ -1,32 +1,32 @@
 package org.vaneworks.coordination.forwarding;
 
-/** Why an attempt ended without a whole answer. */
+/** The reason why an attempt ended without a complete response. */
 enum AttemptFailure {
   /** The endpoint answered that it did not run the request. */
   ENDPOINT_REFUSED("endpoint-refused", false),
-  /** The endpoint answered with a failure. */
+  /** The endpoint responded with a server error. */
   ENDPOINT_ERROR("endpoint-error", false),
-  /** The endpoint answered a request for the rest of a stream with a failure. */
+  /** The endpoint refused to resume a stream. */
   RESUME_REFUSED("resume-refused", false),
-  /** The answer belongs to another request. */
+  /** The response belongs to another request. */
   MISMATCHED_RESPONSE("foreign-answer", false),
-  /** There was no connection to send on. */
+  /** No connection to the endpoint could be opened. */
   NOT_CONNECTED("not-connected", false),
-  /** The connection broke. */
+  /** The connection was lost. */
   CONNECTION_LOST("connection-lost", false),
-  /** A later run of the endpoint's process showed. */
+  /** The endpoint's process restarted. */
   ENDPOINT_RESTARTED("endpoint-restarted", false),
-  /** The first engine gives no sign of life. */
+  /** The first engine of the path does not respond to probes. */
   ENGINE_SUSPECTED("engine-suspected", true),
-  /** A later engine is lost, and the first one says that it does not run the request. */
+  /** A later engine was lost, and the first one does not know the request. */
   REQUEST_UNKNOWN("request-unknown", false),
-  /** A later engine is lost, and the first one takes no other path. */
+  /** A later engine was lost, and the first one accepted no other path. */
   PATH_LOST("path-lost", true),
-  /** A later engine is lost, and the request must not be begun elsewhere. */
+  /** A later engine was lost, and the request is quarantined, so it must not start elsewhere. */
   QUARANTINED("held-back", true),
-  /** The endpoint that the request was to leave answered first. */
+  /** The previous attempt produced data again before its replacement did. */
   SUPERSEDED("outrun", true),
-  /** The caller's or the route's time is over. */
+  /** The caller's or the route's deadline passed. */
   DEADLINE_EXCEEDED("time-up", true);
 
   private final String code;
@@ -37,12 +37,12 @@
     this.endedByNode = endedByNode;
   }
 
-  /** Returns the code that logs and meters use. */
+  /** Returns the code for logs and metrics. */
   String code() {
     return code;
   }
 
-  /** Returns whether the endpoint had not ended the attempt as this node did. */
+  /** Returns whether this node ended the attempt while the endpoint had not. */
   boolean endedByNode() {
     return endedByNode;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerDeadlines.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerDeadlines.java
@@ -8,32 +8,37 @@
 import org.vaneworks.state.entry.EntryRoute;
 
 /**
- * How long the caller of one request waits, and when it is asked to come back.
+ * Deadlines of one request, and the retry-after time for its caller if it is refused.
  *
  * <p>Immutable. Times are those of the executor's clock, in nanoseconds.
  */
 final class CallerDeadlines {
-  /** Callers of a stream wait this long for its first event at least. */
+  /** Minimum time for which callers wait for the first event of a stream. */
   private static final Duration MIN_FIRST_EVENT_TIMEOUT = Duration.ofSeconds(2);
 
-  /** The same as a multiple of the objective, and of that of the longest pause. */
+  /** First-event timeout as a multiple of the route's objective for the first event. */
   private static final int OBJECTIVES_PER_TIMEOUT = 4;
 
+  /** First-event timeout as a multiple of the route's objective for pauses between events. */
   private static final int PAUSES_PER_TIMEOUT = 8;
 
-  /** A request that is refused is refused this long before its caller leaves. */
+  /**
+   * Requests are refused this long before their callers give up, so that refusals arrive in time.
+   */
   private static final Duration REFUSAL_MARGIN = Duration.ofMillis(100);
 
-  /** A caller that comes back on a new connection needs about this long anyway. */
+  /** Reconnecting takes about this long in any case. */
   private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(100);
 
-  /** Callers honour a time to come back up to this part of what they have left. */
+  /** Callers ignore retry-after times above this fraction (1/n) of their remaining time. */
   private static final int MAX_RETRY_AFTER_DIVISOR = 3;
 
-  /** A time to come back lies between this part of the expected time and as much beyond it. */
+  /**
+   * Retry-after times range from this factor of the expected wait to as much above it (0.75-1.25).
+   */
   private static final double MIN_JITTER_FACTOR = 0.75;
 
-  /** Callers return over this part of the time until an endpoint takes requests, after it. */
+  /** Retries after a backoff are spread over this fraction of its length, after its end. */
   private static final double BACKOFF_JITTER = 0.25;
 
   private final EntryRoute route;
@@ -47,9 +52,9 @@
   }
 
   /**
-   * Returns the patience for a request.
+   * Returns the deadlines of a request.
    *
-   * @param told how long the caller says that it waits, if it does
+   * @param stated the caller's own timeout, if it stated one
    */
   static CallerDeadlines of(EntryRoute route, Optional<Duration> stated, long startedAt) {
     checkNotNull(route);
@@ -58,21 +63,21 @@
     return new CallerDeadlines(route, startedAt, limit);
   }
 
-  /** Returns when the request is over in any case. */
+  /** Returns the deadline of the request. */
   long endsAt() {
     return startedAt + limit.toNanos();
   }
 
   /**
-   * Returns until when the request has to be sent to be in time.
+   * Returns the latest time at which the request can be sent and still meet the route's objective.
    *
-   * @param firstPartTime from sending to the first part of the answer
+   * @param firstPartTime the usual time from sending a request to the first part of its response
    */
   long onTimeUntil(Duration firstPartTime) {
     return startedAt + route.objective().toNanos() - firstPartTime.toNanos();
   }
 
-  /** Returns until when the request may wait to be sent. */
+  /** Returns until when the request may wait in the queue. */
   long waitsUntil(Duration firstPartTime) {
     long callerLeaves = Math.min(endsAt(), startedAt + firstPartTimeout().toNanos());
     return callerLeaves - REFUSAL_MARGIN.toNanos() - firstPartTime.toNanos();
@@ -90,11 +95,11 @@
   }
 
   /**
-   * Returns after what time the caller is asked to come back, spread so that callers don't return
-   * in one wave.
+   * Returns the retry-after time for the caller, with jitter so that callers don't retry all at
+   * once.
    *
-   * @param expected when room is expected
-   * @param untilOpen how long no endpoint takes a request; the caller is not asked back before
+   * @param expected the expected wait for capacity
+   * @param untilOpen how long all endpoints back off; the result is not shorter
    * @param draw a number in [0, 1)
    */
   Duration retryAfter(Duration expected, Duration untilOpen, long now, double draw) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerRequest.java
@@ -5,30 +5,30 @@
 import org.vaneworks.coordination.relay.RequestSize;
 import org.vaneworks.state.RequestContent;
 
-/** A caller's request as decisions see it; its headers and body stay with the transport. */
+/** The parts of a caller's request that forwarding decisions use. */
 public interface CallerRequest {
-  /** Returns the caller's name of this attempt. */
+  /** Returns the caller's id for this request. */
   String id();
 
-  /** Returns the host that it names. */
+  /** Returns the requested host. */
   String host();
 
-  /** Returns its path without the query, as it was sent. */
+  /** Returns the path without the query, undecoded. */
   String path();
 
-  /** Returns the secret that shows whose it is. */
+  /** Returns the API key, if the request has one. */
   Optional<String> key();
 
-  /** Returns how long the caller waits. */
+  /** Returns how long the caller waits for the response, if it states that. */
   Optional<Duration> callerTimeout();
 
-  /** Returns how large it is expected to be, where it says so. */
+  /** Returns the expected size, if the request states one. */
   Optional<RequestSize> size();
 
   /**
-   * Returns what it asks for.
+   * Returns a digest of the request's content.
    *
-   * @param workspace whose request it is, where that is known
+   * @param workspace the workspace that the request belongs to, if known
    */
   RequestContent content(Optional<String> workspace);
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerResponse.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerResponse.java
@@ -2,34 +2,34 @@
 
 import org.vaneworks.state.Refusal;
 
-/** The answer to a caller. */
+/** The response to a caller. */
 public interface CallerResponse {
-  /** Passes on an endpoint's head. */
+  /** Sends the head of an endpoint's response. */
   void head(ResponseHead head);
 
   /**
-   * Passes on a part of the body.
+   * Sends a part of the body.
    *
-   * @return whether the caller keeps up; if not, {@link CallerResponse.Listener#drained} is called
-   *     later
+   * @return whether the caller keeps up; if not, the sender pauses until {@link
+   *     CallerResponse.Listener#drained} is called later
    */
   boolean data(byte[] bytes);
 
-  /** Ends a whole answer. */
+  /** Completes the response. */
   void end();
 
-  /** Breaks off an answer whose head was passed on, so that it can't look whole. */
+  /** Aborts a response whose head was sent, such that the caller can tell that it is incomplete. */
   void abort();
 
-  /** Answers with a refusal; no head was passed on. */
+  /** Responds with a refusal. Must not be called after {@link #head}. */
   void refuse(Refusal refusal);
 
-  /** Is told how the caller takes its answer. */
+  /** Receives events of the caller's connection. */
   interface Listener {
-    /** The caller has read what was waiting for it. */
+    /** Called when all buffered data has been read by the caller. */
     void drained();
 
-    /** The caller closed its connection. */
+    /** Called when the caller has closed its connection. */
     void disconnected();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CapacityQueue.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CapacityQueue.java
@@ -13,69 +13,73 @@
 import org.vaneworks.coordination.fleet.Openings;
 
 /**
- * Requests of one service that wait for room at its endpoints.
+ * Queue of requests that wait for capacity at the endpoints of one service.
  *
- * <p>Order: streams whose caller already has a part come first, then requests that can still be in
- * time, then late ones; among these the more urgent, then the earlier. So a shortage makes few
- * requests late instead of all, and a late one is served while its caller waits if room is left. A
- * request waits only as long as it is expected to be served before its caller gives up, by how many
- * are before it and how many this node has lately started; otherwise, and while no endpoint could
- * run it at all, it is refused at once. Confined to the node's event loop.
+ * <p>Interrupted streams come first, then requests that can still meet their objective, then late
+ * ones; each group is ordered by priority and arrival. So a shortage delays few requests instead of
+ * all, and late requests are served if capacity is left while their callers wait. A request waits
+ * only while it is expected to start before its caller gives up, given its position and the recent
+ * start rate of this node. Otherwise, and while no endpoint could run it at all, it is refused
+ * immediately. Confined to the node's event loop.
  */
 final class CapacityQueue {
-  /** Between two looks for room; a look costs a few searches for a path. */
+  /** Interval between polls for capacity; each poll costs a few path searches. */
   private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
-  /** Requests that find no room in one look before it ends: a smaller one behind may fit. */
+  /** Failed starts after which a poll ends; more than one, as a smaller request may fit. */
   private static final int MAX_MISSES_PER_POLL = 3;
 
-  /** Starts are averaged over this time: streams last one to three seconds. */
+  /** Time constant of the start rate; streams last one to three seconds. */
   private static final double RATE_TIME_CONSTANT_NANOS = 1e9;
 
-  /** Starts a second that are assumed at least, so that the first requests may wait. */
+  /** Lower bound of the assumed start rate, so that the first requests may wait. */
   private static final double MIN_STARTS_PER_SECOND = 2;
 
-  /** Weight of a newer time to the first part against those before. */
+  /** Weight of a new sample in the moving average of the time to the first part. */
   private static final double FIRST_PART_SMOOTHING = 0.1;
 
-  /** How a request stands to its caller. */
+  /** Scheduling class of a request, most urgent first. */
   enum Rank {
-    /** Its caller has a part of the answer. */
+    /** The caller has already received a part of the response. */
     CONTINUES,
-    /** It can still be in time. */
+    /** The request can still meet its objective. */
     IN_TIME,
-    /** It can't be in time any more. */
+    /** The request can no longer meet its objective. */
     LATE
   }
 
-  /** A request that waits. */
+  /** A waiting request. */
   interface Waiter {
-    /** Takes a place and begins, or returns false if there is none. */
+    /** Acquires an endpoint and starts; returns false if none has capacity. */
     boolean start();
 
     /**
-     * Whether it may still begin; if not, it is refused at the next look, whatever room there is.
+     * Returns whether the request may still start; if not, the next poll refuses it regardless of
+     * capacity.
      */
     default boolean mayStart() {
       return true;
     }
 
-    /** Returns when requests may begin at its endpoints if they have room. */
+    /** Returns when the endpoints of the request accept requests again, capacity aside. */
     Openings openings();
 
-    /** It won't be served: there is no room in time. */
+    /** Refuses the request: no capacity is expected in time. */
     void refuse();
 
-    /** Whether its caller has a part of the answer. */
+    /** Returns whether the caller has already received a part of the response. */
     boolean continues();
 
-    /** Until when it has to begin to be in time, on the executor's clock. */
+    /**
+     * Returns the latest start time that meets the objective, in nanoseconds of the executor's
+     * clock.
+     */
     long onTimeUntil();
 
-    /** Until when its caller waits for it, on the executor's clock. */
+    /** Returns until when the request may wait, in nanoseconds of the executor's clock. */
     long waitsUntil();
 
-    /** 0 is the most urgent. */
+    /** Returns the priority; 0 is the most urgent. */
     int priority();
   }
 
@@ -101,7 +105,9 @@
     rateUpdatedAt = now();
   }
 
-  /** Starts a request if there is room and none waits, lets it wait, or refuses it. */
+  /**
+   * Starts a request if there is capacity and the queue is empty; otherwise queues or refuses it.
+   */
   void join(Waiter waiter) {
     if (entries.isEmpty() && tryStart(waiter)) {
       shortageSince = OptionalLong.empty();
@@ -120,29 +126,30 @@
     schedulePoll();
   }
 
-  /** Takes a request out, for example because its caller left. */
+  /** Removes a request, for example because its caller disconnected. */
   void leave(Waiter waiter) {
     entries.removeIf(entry -> entry.waiter() == waiter);
   }
 
   /**
-   * Returns when room is expected for a request that is refused now.
+   * Returns the expected wait for capacity of a request that is refused now.
    *
-   * <p>At least the time that those before it take. A shortage is also expected to last as long
-   * again as it has lasted: most follow the loss of an engine, whose layers others load within some
-   * seconds, so a caller that comes back at once is refused again.
+   * <p>This is at least the time that the queued requests need. A shortage is also expected to last
+   * as long again as it has lasted so far: most shortages follow the loss of an engine, whose
+   * layers other engines load within seconds, so a caller that retries immediately would be refused
+   * again.
    */
   Duration expectedWait() {
     long lasted = shortageSince.isPresent() ? now() - shortageSince.getAsLong() : 0;
     return Duration.ofNanos(Math.max(lasted, (long) waitBehind(entries.size())));
   }
 
-  /** Takes note of how long an answer's first part took since its request was sent. */
+  /** Records the time from sending a request to the first part of its response. */
   void recordFirstPartTime(long nanos) {
     firstPartNanos += FIRST_PART_SMOOTHING * (nanos - firstPartNanos);
   }
 
-  /** Returns the usual time from sending a request to the first part of its answer. */
+  /** Returns the average time from sending a request to the first part of its response. */
   Duration firstPartTime() {
     return Duration.ofNanos((long) firstPartNanos);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CapacityQueues.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CapacityQueues.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The waiting line of each service. Confined to the node's event loop. */
+/** The capacity queue of each service. Confined to the node's event loop. */
 final class CapacityQueues {
   private final Executor clock;
   private final Map<String, CapacityQueue> byService = new HashMap<>();
@@ -15,7 +15,7 @@
     this.clock = checkNotNull(clock);
   }
 
-  /** Returns the line of a service. */
+  /** Returns the queue of a service. */
   CapacityQueue of(String service) {
     return byService.computeIfAbsent(service, name -> new CapacityQueue(clock));
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
@@ -20,16 +20,18 @@
 import org.vaneworks.state.entry.ModelProfile;
 
 /**
- * Where a request runs: a path of engines, or a replica of a plain service; and what it takes
- * there.
+ * Selects the endpoint of a request, either an engine path or a replica of a plain service, and
+ * reserves capacity there.
  *
  * <p>Confined to the node's event loop.
  */
 final class EndpointSelector {
-  /** An engine that said that it is full gets nothing new for its report's lag. */
+  /** Time for which an overloaded engine gets no new requests, about the lag of its load report. */
   private static final Duration OVERLOAD_BACKOFF = Duration.ofMillis(200);
 
-  /** An engine that does not hold what the list says is left alone until the list is newer. */
+  /**
+   * Time for which an engine that lacks the listed layers is avoided, until the list is updated.
+   */
   private static final Duration MISDIRECTED_BACKOFF = Duration.ofMillis(800);
 
   private static final int MISDIRECTED = 421;
@@ -60,22 +62,22 @@
         .orElseGet(() -> new RequestSize(0, 0));
   }
 
-  /** Returns whether engines run the request. */
+  /** Returns whether engines run the request, as opposed to a plain service. */
   boolean runsOnEngines() {
     return model.isPresent();
   }
 
-  /** Returns the path, while the request has one. */
+  /** Returns the selected path; empty for a plain service or if nothing is selected. */
   Optional<EnginePath> path() {
     return path;
   }
 
-  /** Returns the endpoint that the request is sent to; there must be one. */
+  /** Returns the endpoint to which the request is sent; one must be selected. */
   TrackedEndpoint target() {
     return target.orElseThrow();
   }
 
-  /** Returns whether the request has a place. */
+  /** Returns whether an endpoint is selected. */
   boolean isSelected() {
     return target.isPresent();
   }
@@ -84,7 +86,7 @@
     return path.isPresent() && path.get().passes(engine);
   }
 
-  /** Returns the engines of the path that are believed dead, the first one first. */
+  /** Returns the suspected engines of the path, in path order. */
   ImmutableList<TrackedEndpoint> suspected() {
     return path.stream()
         .flatMap(taken -> taken.parts().stream())
@@ -94,24 +96,23 @@
   }
 
   /**
-   * Notes that the request failed at the endpoint it was sent to: the next place is elsewhere if
-   * there is another. Whether the endpoint is dead shows a moment later, which is too late for this
-   * request.
+   * Notes that the request failed at the selected endpoint, so that the next selection avoids it if
+   * there is an alternative. Failure detection would be too late for this request.
    */
   void noteFailed() {
     target.ifPresent(failed::add);
   }
 
   /**
-   * What a request takes.
+   * A selected endpoint.
    *
-   * @param path empty at a plain service
+   * @param path the engine path; empty for a plain service
    */
   record Selection(TrackedEndpoint target, Optional<EnginePath> path) {}
 
   /**
-   * Takes a place, and leaves the one that the request has; returns false if there is none now, and
-   * then changes nothing.
+   * Selects an endpoint in place of the present one. Returns false, without any change, if none has
+   * capacity now.
    */
   boolean select() {
     Optional<Selection> next = find();
@@ -123,8 +124,8 @@
   }
 
   /**
-   * Takes a place at another endpoint beside the one that the request has, and returns the latter,
-   * which goes on to be taken; returns empty if there is none now, and then changes nothing.
+   * Selects another endpoint and keeps the reservation at the present one, whose selection is
+   * returned. Returns empty, without any change, if no other endpoint has capacity now.
    */
   Optional<Selection> selectAdditional() {
     Selection previous = new Selection(target(), path);
@@ -133,7 +134,7 @@
     return next.map(taken -> previous);
   }
 
-  /** Leaves the present place for one that has been taken before, and still is. */
+  /** Releases the present selection and reverts to a previous one that is still reserved. */
   void revertTo(Selection previous) {
     release();
     target = Optional.of(previous.target());
@@ -196,39 +197,39 @@
     context.fleet().statements().noteCall(engine, CallPurpose.LATER_PART);
   }
 
-  /** Returns when requests may begin at the service's endpoints if they have room. */
+  /** Returns when the endpoints of the service accept requests again, capacity aside. */
   Openings openings() {
     return model
         .map(profile -> context.fleet().openings(service, profile.layers()))
         .orElseGet(() -> context.fleet().openings(service));
   }
 
-  /** Returns a path with the same first part that avoids some engines. */
+  /** Returns an alternative path with the same first part that avoids the given engines. */
   Optional<EnginePath> alternativePath(ImmutableList<TrackedEndpoint> without) {
     PathPart first = path.orElseThrow().parts().get(0);
     return context.planner().replan(query(), usable(without), first);
   }
 
-  /** Returns the engine of the same service at an address. */
+  /** Returns the engine of the same service at the given address. */
   Optional<TrackedEndpoint> engineAt(HostPort address) {
     return context.fleet().at(service, address);
   }
 
-  /** Leaves the endpoint alone that was in the way of a request, and returns it. */
+  /** Avoids the endpoint that prevented the request from running for a while, and returns it. */
   TrackedEndpoint noteObstacle(ResponseHead refused) {
     TrackedEndpoint obstacle = refused.obstacle().flatMap(this::engineAt).orElseGet(this::target);
     boolean misdirected = refused.status() == MISDIRECTED;
     Duration pause = misdirected ? MISDIRECTED_BACKOFF : OVERLOAD_BACKOFF;
     obstacle.avoidUntil(now() + pause.toNanos());
     if (misdirected && obstacle.endpoint().incarnation().isTold()) {
-      // It may have started again and hold nothing; its report tells so before the list does.
+      // The engine may have restarted without layers; its report shows that before the list does.
       context.health().check(obstacle);
     }
     obstacle.noteShortage(now());
     return obstacle;
   }
 
-  /** Goes on over another path with the same first engine. */
+  /** Switches to another path with the same first engine. */
   void replace(EnginePath next) {
     EnginePath previous = path.orElseThrow();
     previous.release(size.tokens());
@@ -240,14 +241,14 @@
     path = Optional.of(next);
   }
 
-  /** Leaves the place. */
+  /** Releases the present selection. */
   void release() {
     target.ifPresent(taken -> release(new Selection(taken, path)));
     path = Optional.empty();
     target = Optional.empty();
   }
 
-  /** Leaves a place that was taken beside the present one. */
+  /** Releases the reservation of a previous selection. */
   void release(Selection taken) {
     if (taken.path().isPresent()) {
       taken.path().get().release(size.tokens());
@@ -270,7 +271,7 @@
     return context.clock().currentTime(NANOSECONDS);
   }
 
-  /** Returns the replica with the fewest requests, those not yet tried first. */
+  /** Returns the replica with the fewest requests; replicas already tried count as fully loaded. */
   private Optional<TrackedEndpoint> leastLoaded() {
     Optional<TrackedEndpoint> best = Optional.empty();
     double bestLoad = Double.MAX_VALUE;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointTransport.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointTransport.java
@@ -1,50 +1,50 @@
 package org.vaneworks.coordination.forwarding;
 
-/** Sends requests to endpoints, each attempt at most once. */
+/** Sends requests to endpoints; each attempt is sent at most once. */
 public interface EndpointTransport {
   /**
    * Sends an attempt.
    *
-   * <p>The listener is called on the node's event loop, later or before this returns.
+   * <p>The listener is called on the node's event loop, possibly before this method returns.
    */
   EndpointCall send(Attempt attempt, Listener listener);
 
-  /** An attempt on its way. */
+  /** An attempt in progress. */
   interface EndpointCall {
     /**
-     * Returns whether any of the request may have reached the endpoint; false until there is a
-     * connection for it.
+     * Returns whether any part of the request may have reached the endpoint; false until a
+     * connection is available.
      */
     boolean mayHaveArrived();
 
-    /** Breaks it off; the connection is closed, so the endpoint stops work. */
+    /** Cancels the attempt and closes its connection, which makes the endpoint stop work on it. */
     void cancel();
 
-    /** Reads the rest of the answer without reporting it, so that its connection can be kept. */
+    /** Reads and drops the rest of the response, so that the connection can be reused. */
     void discard();
 
-    /** Reads no further until {@link #resume}. */
+    /** Stops reading until {@link #resume} is called. */
     void pause();
 
-    /** Reads on. */
+    /** Resumes reading. */
     void resume();
   }
 
-  /** Is told what becomes of an attempt. Nothing follows {@link #end} or {@link #failed}. */
+  /** Receives the events of an attempt; {@link #end} or {@link #failed} is the last one. */
   interface Listener {
-    /** Takes the head of the answer. */
+    /** Called with the head of the response. */
     void head(ResponseHead head);
 
-    /** Takes a part of the body. */
+    /** Called with a part of the body. */
     void data(byte[] bytes);
 
-    /** Takes note that the answer is whole. */
+    /** Called when the response is complete. */
     void end();
 
     /**
-     * Takes note that there is no whole answer.
+     * Called when the attempt failed without a complete response.
      *
-     * @param neverSent whether it is known that no byte of the request left this node
+     * @param neverSent whether it is certain that no byte of the request left this node
      */
     void failed(boolean neverSent, Throwable cause);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EventSplitter.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EventSplitter.java
@@ -7,25 +7,25 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of server-sent events after its last whole event and remembers that event's id.
+ * Splits a stream of server-sent events after its last complete event and tracks the last event id.
  *
- * <p>An event ends with an empty line. Bytes of an event that is not whole are kept back, so that
- * another run can continue after the last whole one. Not thread-safe.
+ * <p>An event ends with an empty line. Bytes of an incomplete event are buffered, so that another
+ * attempt can resume after the last complete event. Not thread-safe.
  */
 final class EventSplitter {
   private static final byte[] ID_FIELD = {'i', 'd', ':'};
 
   private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
 
-  /** The whole events that came last with an id among them; read only when the id is asked for. */
+  /** The latest complete events that include an id; parsed lazily by {@link #lastId}. */
   private byte[] lastWithId = {};
 
-  /** Takes bytes in; returns those that complete events, perhaps none. */
+  /** Appends bytes; returns the complete events that are available, possibly none. */
   byte[] append(byte[] bytes) {
     byte[] pending = withPartial(bytes);
     int end = endOfWholeEvents(pending);
     partial.write(pending, end, pending.length - end);
-    // An endpoint writes event by event, so most of the time there is nothing to cut.
+    // Endpoints usually write whole events, so the input rarely has to be split.
     byte[] whole = end == pending.length ? pending : Arrays.copyOf(pending, end);
     if (startOfLastId(whole) >= 0) {
       lastWithId = whole;
@@ -41,20 +41,20 @@
     return takePartial();
   }
 
-  /** Returns the bytes that were kept back, and keeps none. */
+  /** Returns the buffered bytes of an incomplete event and clears the buffer. */
   byte[] takePartial() {
     byte[] takePartial = partial.toByteArray();
     partial.reset();
     return takePartial;
   }
 
-  /** Keeps bytes back that {@link #rest} returned, in place of what is kept now. */
+  /** Replaces the buffer with bytes that {@link #takePartial} returned before. */
   void restorePartial(byte[] bytes) {
     partial.reset();
     partial.writeBytes(bytes);
   }
 
-  /** Returns the id of the last whole event that had one. */
+  /** Returns the id of the last complete event that had one. */
   Optional<String> lastId() {
     int start = startOfLastId(lastWithId);
     if (start < 0) {
@@ -80,7 +80,7 @@
     return i >= 3 && bytes[i - 1] == '\r' && bytes[i - 2] == '\n' && bytes[i - 3] == '\r';
   }
 
-  /** Returns where the value of the last line with an id begins, -1 if there is none. */
+  /** Returns the index at which the value of the last id field starts, or -1 if there is none. */
   private static int startOfLastId(byte[] whole) {
     for (int i = whole.length - ID_FIELD.length; i >= 0; i--) {
       boolean startsLine = i == 0 || whole[i - 1] == '\n' || whole[i - 1] == '\r';
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Failover.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Failover.java
@@ -9,31 +9,34 @@
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 
 /**
- * The search for another place of a request whose endpoint gives no sign of life.
+ * Failover of one request whose endpoint does not respond.
  *
- * <p>Silence proves nothing, so the attempt goes on until the other place is taken, and for good if
- * there is none: whatever the endpoint still says is passed on. Confined to the node's event loop.
+ * <p>Silence does not prove that the endpoint is dead. The present attempt therefore continues, and
+ * its data is passed on, until another endpoint is acquired; if there is none, it just continues.
+ * Confined to the node's event loop.
  */
 final class Failover {
   /**
-   * Why the present attempt is to be left.
+   * Why the present attempt is to be abandoned.
    *
-   * @param silent the engine that gives no sign of life
+   * @param failure the failure to report for the attempt
+   * @param unresponsive the engine that does not respond
+   * @param cause details for the log
    */
   record Trigger(AttemptFailure failure, TrackedEndpoint unresponsive, String cause) {}
 
-  /** The request that seeks. */
+  /** Operations of the request that fails over. */
   interface Callbacks {
-    /** Returns why it may not be sent again if its attempt is left now. */
+    /** Returns why the request may not be sent again if its attempt is abandoned now. */
     Optional<ResendDenial> denialIfAbandoned();
 
-    /** Seeks a place, or goes on waiting for one. */
+    /** Acquires an endpoint, or waits in the queue for capacity. */
     void acquireEndpoint();
 
-    /** Waits for a place no longer. */
+    /** Leaves the queue. */
     void leaveQueue();
 
-    /** Remains where it is, or is given up. */
+    /** Called when the request can't fail over now: it stays at its endpoint or fails. */
     void denied(Trigger trigger, ResendDenial denial);
   }
 
@@ -48,19 +51,20 @@
     this.callbacks = checkNotNull(callbacks);
   }
 
+  /** Returns whether a failover is in progress. */
   boolean isActive() {
     return trigger.isPresent();
   }
 
-  /** Returns why the attempt is to be left; the search must be on. */
+  /** Returns why the attempt is to be abandoned; a failover must be in progress. */
   Trigger trigger() {
     return trigger.orElseThrow();
   }
 
   /**
-   * Begins, unless it is on.
+   * Starts a failover unless one is in progress.
    *
-   * @param wait until another place may be sought
+   * @param wait the delay before another endpoint may be acquired
    */
   void start(Trigger reason, Duration wait) {
     if (isActive()) {
@@ -75,7 +79,7 @@
     }
   }
 
-  /** Looks whether the request may go on elsewhere, if the search is on. */
+  /** Tries again to acquire another endpoint if a failover is in progress. */
   void retry() {
     if (!isActive() || clock.currentTime(NANOSECONDS) < notBefore) {
       return;
@@ -88,12 +92,14 @@
     }
   }
 
-  /** Takes note that the line has no place in time, or may give it none. */
+  /**
+   * Called when the queue refuses the request: no capacity in time, or it may not be sent again.
+   */
   void capacityRefused() {
     callbacks.denied(trigger(), callbacks.denialIfAbandoned().orElse(ResendDenial.NO_CAPACITY));
   }
 
-  /** Runs the action if it was not run since the search began. */
+  /** Runs the action if none has run since the failover started. */
   void runOncePerFailover(Runnable action) {
     if (!actionRun) {
       actionRun = true;
@@ -101,14 +107,14 @@
     }
   }
 
-  /** Ends if it was begun because of this engine, which answers again. */
+  /** Stops the failover if this engine, which responds again, triggered it. */
   void engineRecovered(TrackedEndpoint engine) {
     if (trigger.filter(reason -> reason.unresponsive() == engine).isPresent()) {
       stop();
     }
   }
 
-  /** Ends: the request makes progress, or its attempt is over. */
+  /** Stops the failover, because the request makes progress or its attempt has ended. */
   void stop() {
     if (isActive()) {
       trigger = Optional.empty();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardContext.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardContext.java
@@ -11,20 +11,20 @@
 import org.vaneworks.telemetry.Counters;
 
 /**
- * What all requests of a node share.
+ * Dependencies shared by all requests of a node.
  *
  * @param clock the node's event loop and clock
- * @param random chance that tests seed
+ * @param random source of randomness, seeded by tests
  * @param fleet all endpoints
  * @param planner chooses paths
- * @param health asks engines for signs of life
- * @param control changes the path of a running request
- * @param calls sends to endpoints
- * @param lines requests that wait for room
- * @param budget bounds what is sent again
- * @param quarantine requests that are held back
- * @param endedEndpoints is told of requests that lost their endpoint
- * @param dataCentre this node's
+ * @param health probes engines
+ * @param control changes the paths of running requests
+ * @param transport sends attempts to endpoints
+ * @param queues requests that wait for capacity
+ * @param budget limits repeated sends
+ * @param quarantine contents of requests that are not sent
+ * @param endedEndpoints records which requests lost their endpoint
+ * @param dataCentre this node's data centre
  * @param counters counts refusals and retries
  */
 record ForwardContext(
@@ -34,7 +34,7 @@
     PathPlanner planner,
     HealthWatch health,
     EngineControl control,
-    EndpointTransport calls,
+    EndpointTransport transport,
     CapacityQueues queues,
     ResendBudget budget,
     Quarantine quarantine,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardLog.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardLog.java
@@ -12,7 +12,7 @@
 import org.vaneworks.telemetry.EventLog;
 import org.vaneworks.telemetry.Metric;
 
-/** The log lines and counters of decisions on a request; each line names the request. */
+/** Logs and counts forwarding decisions; each log line names its request. */
 final class ForwardLog {
   private ForwardLog() {}
 
@@ -33,7 +33,7 @@
         refusal.detail());
   }
 
-  /** Writes a line of a request with how far it came. */
+  /** Logs an event of a request together with its progress. */
   private static void logWithProgress(Event event, RequestProgress progress, Object... pairs) {
     Object[] progressPairs = {
       "lastSentTo",
@@ -66,11 +66,11 @@
   }
 
   /**
-   * Notes that a request is sent again.
+   * Logs that a request is sent again.
    *
-   * @param sends how often it was sent before
-   * @param triedAt the endpoint of the attempt that is over
-   * @param afterMillis since the request came
+   * @param sends the number of sends before
+   * @param triedAt the endpoint of the attempt that ended
+   * @param afterMillis the time since the request arrived
    */
   static void sentAgain(
       CallerRequest request,
@@ -98,10 +98,10 @@
   }
 
   /**
-   * Notes that an endpoint was lost while it had a request.
+   * Logs that an endpoint was lost while it had a request.
    *
-   * @param sinceSent since the request was sent there
-   * @param sincePart since the first part of its answer; empty if there was none
+   * @param sinceSent the time since the request was sent there
+   * @param sincePart the time since the first part of its response; empty if there was none
    */
   static void lostEndpoint(
       CallerRequest request,
@@ -137,9 +137,9 @@
   }
 
   /**
-   * Notes that a request remains at an endpoint that gives no sign of life.
+   * Logs that a request stays at an endpoint that does not respond.
    *
-   * @param failure what would have ended the attempt
+   * @param failure the failure that triggered the failover
    * @param denial why there is no other attempt
    */
   static void stayed(
@@ -161,9 +161,9 @@
   }
 
   /**
-   * Notes that an answer was broken off after its head had reached the caller.
+   * Logs that a response was aborted after its head had been sent to the caller.
    *
-   * @param failure of the last attempt
+   * @param failure the failure of the last attempt
    * @param denial why there is no other attempt
    */
   static void cut(
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
@@ -22,21 +22,22 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * One request on its way to an endpoint and back.
+ * Forwards one request to an endpoint and passes the response back.
  *
- * <p>At any time at most one attempt counts; what an earlier one still says is ignored. Confined to
+ * <p>At most one attempt is current at any time; events of other attempts are ignored, except that
+ * a previous attempt becomes current again if it responds before its replacement does. Confined to
  * the node's event loop.
  */
 final class ForwardedRequest implements CallerResponse.Listener {
-  /** A plain endpoint whose connection failed gets nothing new for a moment. */
+  /** Time for which a plain endpoint gets no new requests after its connection failed. */
   private static final Duration FAILED_REPLICA_PAUSE = Duration.ofMillis(500);
 
-  /** Callers give a stream up after two seconds without an event. */
+  /** Time to resume a stream in; callers give up after two seconds without an event. */
   private static final Duration RESUME_TIMEOUT = Duration.ofMillis(1500);
 
   /**
-   * Whether an endpoint has ended or only a connection broke is known within this time; one
-   * endpoint less is lost under a request that ends endpoints.
+   * Time within which a crashed endpoint can be told apart from a lost connection. Waiting for it
+   * saves an endpoint from a request that crashes endpoints.
    */
   private static final Duration FAILURE_DETECTION_DELAY = Duration.ofMillis(100);
 
@@ -63,10 +64,10 @@
   private final Failover failover;
   private final PathRepairs repairs;
 
-  /** Empty while none is under way. */
+  /** The current attempt, if one is in progress. */
   private Optional<RunningAttempt> attempt = Optional.empty();
 
-  /** The attempt whose place the present one takes as soon as that is answered. */
+  /** The attempt that is abandoned as soon as the current one gets a response. */
   private Optional<PreviousAttempt> previous = Optional.empty();
 
   private Optional<TrackedEndpoint> lastSentTo = Optional.empty();
@@ -133,7 +134,7 @@
     acquireEndpoint();
   }
 
-  /** Begins at an endpoint, or waits for room at one while that has a prospect. */
+  /** Starts at an endpoint, or waits for capacity while a start in time can be expected. */
   private void acquireEndpoint() {
     if (!done && !queued) {
       queued = true;
@@ -146,7 +147,7 @@
     queue.leave(waiter);
   }
 
-  /** This request while it waits for room. */
+  /** This request while it waits for capacity. */
   private final class QueueWaiter implements CapacityQueue.Waiter {
     @Override
     public boolean start() {
@@ -208,10 +209,10 @@
   }
 
   /**
-   * An attempt that goes on while its successor waits for an answer.
+   * An attempt that continues while its replacement waits for a response.
    *
-   * @param partOfEvent bytes of an event that came without its end
-   * @param left why it is to be left
+   * @param partOfEvent the bytes of an incomplete event
+   * @param abandoned why the attempt is to be abandoned
    */
   private record PreviousAttempt(
       RunningAttempt attempt,
@@ -243,11 +244,11 @@
             splitter.lastId());
     ForwardLog.sent(request, sent, sends);
     progress.attemptStarted(headSent);
-    // The attempt may be over once this returns, and another one under way.
-    running.setCall(context.calls().send(sent, new AttemptListener(running)));
+    // The attempt may have ended when send returns, and another one may be in progress.
+    running.setCall(context.transport().send(sent, new AttemptListener(running)));
   }
 
-  /** Hears of one attempt; ignores it once another attempt counts. */
+  /** Handles the events of one attempt; ignores them once another attempt is current. */
   private final class AttemptListener implements EndpointTransport.Listener {
     private final RunningAttempt running;
 
@@ -255,7 +256,7 @@
       this.running = running;
     }
 
-    /** Returns whether it counts; a former attempt that speaks is the present one again. */
+    /** Returns whether this attempt is current; a previous attempt becomes current again. */
     private boolean isOrBecomesCurrent() {
       if (isPrevious(running)) {
         supersedeReplacement();
@@ -310,7 +311,7 @@
     times.recordPart(now());
   }
 
-  /** Takes what the endpoint says of itself, unless another may have answered in its place. */
+  /** Records the endpoint's statement, unless another endpoint may have responded in its place. */
   private void noteStatement(ResponseHead head, TrackedEndpoint endpoint) {
     if (head.matches() && head.status() != MISDIRECTED) {
       context.fleet().statements().answered(endpoint, head.statement());
@@ -348,7 +349,7 @@
     }
   }
 
-  /** The caller keeps the head of the first run; only events follow. */
+  /** The caller has the head of the first attempt already; only events follow. */
   private void resumed(ResponseHead head, RunningAttempt running) {
     if (head.success()) {
       abandonPrevious();
@@ -407,7 +408,7 @@
     }
   }
 
-  /** Decides what follows an attempt that brought no whole answer. */
+  /** Retries or fails the request after an attempt that ended without a complete response. */
   private void attemptEnded(Verdict verdict, AttemptFailure failure, String cause) {
     String triedAt = selector.target().toString();
     String detail = closeAttempt(verdict, failure, cause);
@@ -428,7 +429,9 @@
     retry(verdict);
   }
 
-  /** Takes note that an attempt is over; returns the cause with what was dropped. */
+  /**
+   * Cleans up after an attempt; returns the cause, including whether a partial event was dropped.
+   */
   private String closeAttempt(Verdict verdict, AttemptFailure failure, String cause) {
     if (verdict != Verdict.NOT_RUN) {
       runs++;
@@ -445,7 +448,7 @@
     ForwardLog.sentAgain(request, failure, sends, triedAt, millis, detail, context.counters());
   }
 
-  /** Seeks another place, at once unless this very loss may hold the request back. */
+  /** Acquires another endpoint, after a delay if this loss may quarantine the request. */
   private void retry(Verdict verdict) {
     if (verdict == Verdict.NOT_RUN || !quarantine.isOneLossShort()) {
       acquireEndpoint();
@@ -458,13 +461,13 @@
   }
 
   private void acquireEndpointIfUnassigned() {
-    // If the endpoint has ended, the request was told meanwhile that it is held back.
+    // If the endpoint crashed, the request has been quarantined and refused in the meantime.
     if (!done && !selector.isSelected()) {
       acquireEndpoint();
     }
   }
 
-  /** Returns why the request may not be sent again, its budget and room aside. */
+  /** Returns why the request may not be sent again, regardless of retry budget and capacity. */
   private Optional<ResendDenial> denial(Verdict verdict, int runsSoFar) {
     if (headSent && !(route.kind().idempotent() && route.kind().streamed())) {
       return Optional.of(ResendDenial.NOT_RESUMABLE);
@@ -555,16 +558,14 @@
     onDone.accept(this);
   }
 
-  /** Moves off an engine that will end soon; a request that it took first stays to the end. */
+  /** Migrates from an engine that is about to stop, unless it is the first one of the path. */
   void engineLeaving(TrackedEndpoint engine) {
     if (uses(engine) && selector.target() != engine) {
       repairs.migrateFrom(engine);
     }
   }
 
-  /**
-   * Goes on without an engine that is believed dead, unless the answer itself shows that it lives.
-   */
+  /** Replaces a suspected engine, unless recent progress of the response shows that it is alive. */
   void engineSuspected(TrackedEndpoint engine) {
     if (!uses(engine)) {
       return;
@@ -575,7 +576,7 @@
     }
   }
 
-  /** Stays after all: the engine answers again. */
+  /** Stops a failover from an engine that responds again. */
   void engineRecovered(TrackedEndpoint engine) {
     failover.engineRecovered(engine);
   }
@@ -588,13 +589,13 @@
     }
   }
 
-  /** Returns whether the request may be broken off at its endpoint without a loss for good. */
+  /** Returns whether the attempt may be aborted without losing the request. */
   private boolean mayAbort() {
-    // An engine is often known to be dead before the connection to it is given up.
+    // An engine is often known to be dead before connecting to it times out.
     return route.kind().idempotent() || !running().mayHaveArrived();
   }
 
-  /** Goes on without an endpoint whose process has ended: it can't answer any more. */
+  /** Replaces an endpoint whose process has ended and which therefore can't respond any more. */
   void endpointEnded(TrackedEndpoint endpoint) {
     if (done || attempt.isEmpty()) {
       return;
@@ -613,7 +614,7 @@
     return !done && selector.uses(engine);
   }
 
-  /** What repairs of the path ask of this request. */
+  /** Operations for path repairs. */
   private final class RepairCallbacks implements PathRepairs.Callbacks {
     @Override
     public RunningAttempt running() {
@@ -645,7 +646,7 @@
 
     @Override
     public void failOverFrom(TrackedEndpoint lost, AttemptFailure failure, String cause) {
-      // Even if it has ended: an order without an answer may have taken it off the path before.
+      // Even if the engine has ended: an unanswered path change may have removed it from the path.
       startFailover(failure, lost, cause);
     }
   }
@@ -663,7 +664,7 @@
     failover.start(new Trigger(failure, unresponsive, cause), wait);
   }
 
-  /** What a search for another place asks of this request. */
+  /** Operations for failover. */
   private final class FailoverCallbacks implements Failover.Callbacks {
     @Override
     public Optional<ResendDenial> denialIfAbandoned() {
@@ -693,7 +694,7 @@
     return spent ? Optional.of(ResendDenial.BUDGET_EXHAUSTED) : denial;
   }
 
-  /** Leaves the attempt for one at another place, if there is one now. */
+  /** Replaces the attempt by one at another endpoint, if one has capacity now. */
   private boolean failOver() {
     boolean delivers = headSent && running().mayHaveArrived() && previous.isEmpty();
     if (!delivers) {
@@ -716,7 +717,7 @@
     return true;
   }
 
-  /** Begins at another place while the present attempt goes on, as that may not take it. */
+  /** Starts a second attempt elsewhere and keeps the present one, as the new one may be refused. */
   private boolean startConcurrentAttempt() {
     Optional<EndpointSelector.Selection> taken = selector.selectAdditional();
     if (taken.isEmpty()) {
@@ -732,9 +733,7 @@
     return true;
   }
 
-  /**
-   * The former attempt is the present one again; what its successor would have said is not read.
-   */
+  /** Makes the previous attempt current again and cancels its replacement. */
   private void supersedeReplacement() {
     Verdict verdict = running().verdictIfAbandoned();
     running().cancel();
@@ -743,7 +742,7 @@
     restorePrevious();
   }
 
-  /** Goes on with the former attempt, as its successor came to nothing, and seeks another again. */
+  /** Continues the previous attempt after its replacement failed, and retries the failover. */
   private void fallBackToPrevious(Verdict verdict) {
     Trigger abandoned = restorePrevious().abandoned();
     boolean lost = abandoned.unresponsive().suspected() || abandoned.unresponsive().hasEnded();
@@ -768,7 +767,7 @@
     return resumed;
   }
 
-  /** Breaks the former attempt off: its successor is answered. */
+  /** Abandons the previous attempt, as its replacement has a response. */
   private void abandonPrevious() {
     previous.ifPresent(
         abandoned -> {
@@ -799,7 +798,7 @@
     return !done && previous.filter(earlier -> earlier.attempt() == wanted).isPresent();
   }
 
-  /** Breaks the attempt off at an endpoint; returns the cause with what was dropped. */
+  /** Aborts the attempt; returns the cause, including whether a partial event was dropped. */
   private String abortAttempt(Trigger abandoned, TrackedEndpoint endpoint) {
     Verdict verdict = running().verdictIfAbandoned();
     if (verdict == Verdict.MAY_HAVE_RUN) {
@@ -810,9 +809,10 @@
   }
 
   /**
-   * Remains at an endpoint that gives no sign of life.
+   * Stays at an endpoint that does not respond, if the attempt can't be aborted without loss.
    *
-   * <p>A caller that has no part of the answer yet and may ask again itself is told at once.
+   * <p>Otherwise, a caller that has no part of the response yet is refused at once, so that it can
+   * retry.
    */
   private void stayOrFail(Trigger wanted, ResendDenial denial) {
     if (headSent || !mayAbort()) {
@@ -836,7 +836,7 @@
     return !done && attempt.filter(present -> present == wanted).isPresent();
   }
 
-  /** Looks again whether the request can go on elsewhere, as it stands still. */
+  /** Retries or starts a failover for a stalled request. */
   private void stalled() {
     if (done || attempt.isEmpty()) {
       return;
@@ -846,14 +846,14 @@
       return;
     }
     for (TrackedEndpoint engine : selector.suspected()) {
-      // What was done about one engine may have changed the path.
+      // Replacing one engine may have changed the path.
       if (!failover.isActive() && uses(engine)) {
         bypass(engine);
       }
     }
   }
 
-  /** Breaks the attempt off; what follows is up to what may have run. */
+  /** Aborts the attempt; whether the request is sent again depends on what may have run. */
   private void abandonEndpoint(AttemptFailure failure, String cause) {
     Verdict verdict = running().verdictIfAbandoned();
     if (verdict == Verdict.MAY_HAVE_RUN) {
@@ -872,14 +872,14 @@
     noteLost(running(), endpoint);
   }
 
-  /** Notes that an endpoint was lost that has an attempt, or runs part of its path. */
+  /** Notes the loss of an endpoint that has the attempt or is on its path. */
   private void noteLost(RunningAttempt abandoned, TrackedEndpoint endpoint) {
     long now = now();
     Duration sinceSent = Duration.ofNanos(now - abandoned.sentAt());
     quarantine.lost(endpoint, sinceSent, abandoned.sinceFirstPart(now));
   }
 
-  /** Takes note that requests of a content are held back: one that waits is refused at once. */
+  /** Called when requests of a content are quarantined: refuses this one if it is waiting. */
   void quarantined(RequestContent content) {
     if (!done && !selector.isSelected() && quarantine.hasContent(content)) {
       refuseQuarantined();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
@@ -27,15 +27,18 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.telemetry.Metric;
 
-/** Takes requests in and forwards those that the configuration allows. */
+/** Admits requests according to the configuration and forwards them to endpoints. */
 public final class Forwarder {
-  /** A caller that comes back on a new connection reaches another node, which may serve at once. */
+  /** Retry-after time; short, as a new connection may reach another node that can serve at once. */
   private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
-  /** An engine that announces its end goes on for two seconds or more. */
+  /**
+   * Delay before requests leave an engine that announced to stop; it runs two more seconds at
+   * least.
+   */
   private static final Duration MIGRATION_DELAY = Duration.ofMillis(800);
 
-  /** How long and how often a request waits for the first configuration after a start. */
+  /** Maximum time for which a request waits for the first configuration after a start. */
   private static final Duration CONFIGURATION_TIMEOUT = Duration.ofMillis(400);
 
   private static final Duration CONFIGURATION_POLL_INTERVAL = Duration.ofMillis(20);
@@ -61,28 +64,39 @@
     context
         .fleet()
         .onSuspicion(
-            engine -> ImmutableList.copyOf(inFlight).forEach(run -> run.engineSuspected(engine)));
+            engine ->
+                ImmutableList.copyOf(inFlight)
+                    .forEach(forwarded -> forwarded.engineSuspected(engine)));
     context
         .fleet()
         .onRecovery(
-            engine -> ImmutableList.copyOf(inFlight).forEach(run -> run.engineRecovered(engine)));
+            engine ->
+                ImmutableList.copyOf(inFlight)
+                    .forEach(forwarded -> forwarded.engineRecovered(engine)));
     context
         .fleet()
         .onEnd(
-            endpoint -> ImmutableList.copyOf(inFlight).forEach(run -> run.endpointEnded(endpoint)));
+            endpoint ->
+                ImmutableList.copyOf(inFlight)
+                    .forEach(forwarded -> forwarded.endpointEnded(endpoint)));
     context.fleet().onLeaving(this::migrateFrom);
     context
         .quarantine()
-        .onHold(content -> ImmutableList.copyOf(inFlight).forEach(run -> run.quarantined(content)));
+        .onHold(
+            content ->
+                ImmutableList.copyOf(inFlight)
+                    .forEach(forwarded -> forwarded.quarantined(content)));
   }
 
   /**
    * Returns a forwarder.
    *
-   * @param quarantine requests that are held back because endpoints end under them
-   * @param configuration the newest configuration that the node knows
-   * @param confirmedWithin whether the store confirmed it in answer to a question of that age
-   * @param sharingNodes number of nodes that share the budget of repeated sends
+   * @param quarantine contents of requests that are not sent because endpoints crashed while
+   *     running them
+   * @param configuration the latest configuration known to the node
+   * @param confirmedWithin whether the store confirmed the configuration in response to a request
+   *     sent within the given time
+   * @param sharingNodes the number of nodes that share the retry budget
    */
   public static Forwarder create(
       Executor clock,
@@ -90,7 +104,7 @@
       Fleet fleet,
       HealthWatch health,
       EngineControl control,
-      EndpointTransport calls,
+      EndpointTransport transport,
       SharedQuarantine quarantine,
       ForwardingLimits limits,
       Supplier<Optional<EntryConfiguration>> configuration,
@@ -106,7 +120,7 @@
             PathPlanner.create(random),
             health,
             control,
-            calls,
+            transport,
             new CapacityQueues(clock),
             ResendBudget.of(limits, sharingNodes),
             quarantine.quarantine(),
@@ -116,13 +130,13 @@
     return new Forwarder(context, configuration, confirmedWithin, limits.keyFreshness());
   }
 
-  /** Sets the bounds for requests from now on. */
+  /** Updates the limits for subsequent requests. */
   public void updateLimits(ForwardingLimits limits) {
     keyFreshness = limits.keyFreshness();
     context.budget().limits(limits);
   }
 
-  /** Takes a request whose body has been read; returns what is told of the caller from now on. */
+  /** Forwards a request whose body has been read; returns the listener for its caller's events. */
   public CallerResponse.Listener forward(CallerRequest request, CallerResponse answer) {
     if (configuration.get().isPresent()) {
       return admit(request, answer);
@@ -171,7 +185,7 @@
     if (keyed && caller.isEmpty()) {
       return refuse(request, answer, Reason.UNKNOWN_KEY, "route " + route.get().name());
     }
-    ForwardedRequest run =
+    ForwardedRequest forwarded =
         ForwardedRequest.create(
             context,
             configured,
@@ -180,31 +194,31 @@
             request,
             answer,
             inFlight::remove);
-    inFlight.add(run);
+    inFlight.add(forwarded);
     context.counters().count(Metric.REQUESTS, route.get().kind().name());
-    run.start();
-    return run;
+    forwarded.start();
+    return forwarded;
   }
 
-  /** Moves requests off an engine that is leaving; those that end soon are left to end. */
+  /** Migrates requests from an engine that is leaving, except those that complete soon. */
   private void migrateFrom(TrackedEndpoint engine) {
     clock.schedule(
-        () -> ImmutableList.copyOf(inFlight).forEach(run -> run.engineLeaving(engine)),
+        () -> ImmutableList.copyOf(inFlight).forEach(forwarded -> forwarded.engineLeaving(engine)),
         MIGRATION_DELAY.toNanos(),
         NANOSECONDS);
   }
 
-  /** Returns whether the configuration was confirmed lately enough to serve. */
+  /** Returns whether the configuration was confirmed recently enough to serve requests. */
   public boolean hasFreshConfiguration() {
     return configuration.get().isPresent() && confirmedWithin.test(keyFreshness);
   }
 
-  /** Returns how many requests are in flight. */
+  /** Returns the number of requests in flight. */
   public int inFlight() {
     return inFlight.size();
   }
 
-  /** Refuses new requests from now on; those in flight go on. */
+  /** Refuses new requests from now on; requests in flight continue. */
   public void refuseNewRequests() {
     stopping = true;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathRepairs.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathRepairs.java
@@ -8,32 +8,32 @@
 import org.vaneworks.coordination.relay.EnginePath;
 
 /**
- * Gives the layers of later engines of a running request's path to others.
+ * Reassigns the layers of later engines on the path of a running request to other engines.
  *
- * <p>The first engine has the request and stays. Confined to the node's event loop.
+ * <p>The first engine holds the request and is never replaced. Confined to the node's event loop.
  */
 final class PathRepairs {
-  /** Orders for another path after the loss of one engine. */
+  /** Maximum number of path changes requested after the loss of one engine. */
   private static final int MAX_PATH_CHANGES = 5;
 
-  /** The request whose path is repaired. */
+  /** Operations of the request whose path is repaired. */
   interface Callbacks {
-    /** Returns the present attempt; there must be one. */
+    /** Returns the current attempt; there must be one. */
     RunningAttempt running();
 
-    /** Returns whether an attempt is the present one. */
+    /** Returns whether an attempt is the current one. */
     boolean isCurrent(RunningAttempt attempt);
 
-    /** Returns whether the request may be broken off without a loss for good. */
+    /** Returns whether the attempt may be aborted without losing the request. */
     boolean mayAbort();
 
-    /** Takes note that an engine of the path was lost. */
+    /** Called when an engine of the path was lost. */
     void lost(TrackedEndpoint engine);
 
-    /** Takes note that the request goes on over another path. */
+    /** Called when the request continues over another path. */
     void repaired();
 
-    /** Seeks another place, as the path lacks an engine and may take no other. */
+    /** Fails over to another endpoint, as the path lost an engine and can't be changed. */
     void failOverFrom(TrackedEndpoint lost, AttemptFailure failure, String cause);
   }
 
@@ -43,7 +43,7 @@
   private final RequestQuarantine quarantine;
   private final Callbacks callbacks;
 
-  /** Engines of the present attempt's path whose layers others are to run. */
+  /** Engines of the current path that are being replaced. */
   private final Set<TrackedEndpoint> beingReplaced = new HashSet<>();
 
   PathRepairs(
@@ -59,15 +59,15 @@
     this.callbacks = checkNotNull(callbacks);
   }
 
-  /** Moves off an engine that will end soon. */
+  /** Migrates from an engine that is about to stop. */
   void migrateFrom(TrackedEndpoint leaving) {
-    // A request that is held back is not begun anywhere else while it runs.
+    // A quarantined request that is running is not started on other engines.
     if (!quarantine.isQuarantined()) {
       replace(leaving, "leaving " + leaving);
     }
   }
 
-  /** Goes on without an engine that is lost, unless that is under way. */
+  /** Replaces an engine that was lost, unless that is in progress. */
   void bypass(TrackedEndpoint lost, String cause) {
     if (!beingReplaced.add(lost)) {
       return;
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Forgets the path of an attempt that is over. */
+  /** Clears the state of an attempt that has ended. */
   void attemptEnded() {
     beingReplaced.clear();
   }
@@ -121,7 +121,7 @@
 
     @Override
     public boolean mayFailOver(TrackedEndpoint engine) {
-      // An engine that is only leaving still works; its end will show.
+      // An engine that is only leaving still works; its end will be detected.
       boolean isLost = engine.suspected() || engine.hasEnded();
       return isLost && callbacks.mayAbort();
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
@@ -13,32 +13,31 @@
 import org.vaneworks.coordination.relay.EnginePath;
 
 /**
- * Gives the layers of one engine to others while a request runs; the first engine of its path
- * stays.
+ * Replaces one engine on the path of a running request; the first engine of the path stays.
  *
- * <p>The present path counts until the first engine has accepted another: a request whose engine is
- * only leaving still makes progress on it, and breaking it off would lose that. Confined to the
- * node's event loop.
+ * <p>The present path remains in use until the first engine has accepted another one: a request
+ * whose engine is only leaving still makes progress there, and aborting it would lose that
+ * progress. Confined to the node's event loop.
  */
 final class PathReplacement {
-  /** Places on other engines come free within this time. */
+  /** Delay between path changes, within which capacity on other engines becomes available. */
   private static final Duration RETRY_DELAY = Duration.ofMillis(150);
 
-  /** An engine that was in the way of a new path is avoided for its report's lag. */
+  /** Time for which an engine that prevented a path change is avoided, the lag of its report. */
   private static final Duration OBSTACLE_BACKOFF = Duration.ofMillis(200);
 
-  /** The node's request whose path is changed. */
+  /** Operations of the request whose path is changed. */
   interface Callbacks {
-    /** The first engine accepted the path. */
+    /** Called when the first engine has accepted the path. */
     void replaced(EnginePath next);
 
-    /** Returns whether the request may be begun at other engines instead. */
+    /** Returns whether the request may fail over to other engines instead. */
     boolean mayFailOver(TrackedEndpoint lost);
 
     /**
-     * Begins the request at other engines.
+     * Fails over to other engines.
      *
-     * @param end why the present attempt is to be left
+     * @param end why the current attempt is to be abandoned
      */
     void failOver(AttemptFailure failure);
   }
@@ -54,13 +53,13 @@
   private int attemptsLeft;
 
   /**
-   * Makes a replacement that does nothing before {@link #begin}.
+   * Creates a replacement that is inactive until {@link #start}.
    *
-   * @param lost the engine whose layers others are to run
-   * @param cause for the log
-   * @param stillWanted whether the same attempt still runs over that engine
-   * @param heldBack whether the request must not be begun anywhere else
-   * @param tries orders that may be given
+   * @param lost the engine to replace
+   * @param cause the reason, for the log
+   * @param stillRelevant whether the same attempt still uses that engine
+   * @param quarantined whether the request must not start on other engines
+   * @param attempts the maximum number of path changes to request
    */
   PathReplacement(
       ForwardContext context,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PendingRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PendingRequest.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** A request that waits to be admitted, or was refused: remembers whether its caller has left. */
+/** Tracks the caller of a request that has not been admitted yet, or was refused. */
 final class PendingRequest implements CallerResponse.Listener {
   private Optional<CallerResponse.Listener> delegate = Optional.empty();
   private boolean disconnected;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
@@ -10,20 +10,20 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * Watches whether a request on engines makes progress, and asks for signs of life when it doesn't.
+ * Monitors the progress of a request on engines and probes the engines when it stalls.
  *
- * <p>Only engines through which no request made progress are asked, so one slow stream among others
- * costs nothing. A look that comes late is no proof of a silence, as events may lie unread: it is
- * taken again once they are read. Confined to the node's event loop.
+ * <p>Only engines through which no request made progress are probed, so a single slow stream causes
+ * no probes. A check that runs late does not prove a stall, as events may be unread in the socket:
+ * it is repeated once they have been read. Confined to the node's event loop.
  */
 final class ProgressMonitor {
-  /** A pause without an event after which the engines are asked for a sign of life. */
+  /** Time without an event after which the engines are probed. */
   private static final Duration STALL_TIMEOUT = Duration.ofMillis(250);
 
-  /** The same before the first event, which waits for the prompt to be read. */
+  /** Stall timeout before the first event, which requires the prompt to be processed. */
   private static final Duration FIRST_EVENT_STALL_TIMEOUT = Duration.ofMillis(350);
 
-  /** An engine through which a request made progress this lately is alive, and not slow. */
+  /** An engine through which a request progressed fast within this time is not slow. */
   private static final Duration RECENT_PROGRESS = Duration.ofMillis(300);
 
   private final ForwardContext context;
@@ -36,14 +36,14 @@
   private long lastProgress;
   private long checkDueAt;
 
-  /** Looks in a row that came too late to prove a silence. */
+  /** Consecutive checks that ran too late to prove a stall. */
   private int ignoredStalls;
 
   /**
-   * Makes a watch that does nothing before {@link #sent}.
+   * Creates a monitor that is inactive until {@link #attemptStarted}.
    *
-   * @param pauseObjective the longest pause between events that is aimed at
-   * @param onStall called now and then while the request stands still, before engines are asked
+   * @param pauseObjective the objective for the longest pause between events
+   * @param onStall called at each check while the request is stalled, before engines are probed
    */
   ProgressMonitor(
       ForwardContext context,
@@ -53,7 +53,7 @@
     this.onStall = onStall;
     this.context = context;
     this.selector = selector;
-    // Two thirds: a pause that long comes close to being late.
+    // Two thirds of the objective: longer pauses come close to missing it.
     this.longPauseNanos = pauseObjective.toNanos() * 2 / 3;
   }
 
@@ -62,16 +62,18 @@
     return lastProgress;
   }
 
-  /** Returns whether the request made progress a moment ago: all its engines were alive then. */
+  /**
+   * Returns whether the request made progress recently, which shows that its engines were alive.
+   */
   boolean isRecent() {
     return now() - lastProgress < STALL_TIMEOUT.toNanos();
   }
 
   /**
-   * Begins to watch an attempt.
+   * Starts monitoring an attempt.
    *
-   * @param resumes whether it continues an answer, whose caller has been waiting since the last
-   *     event
+   * @param resumes whether the attempt resumes a response, whose caller has been waiting since the
+   *     last event
    */
   void attemptStarted(boolean resumes) {
     awaitsHead = true;
@@ -81,7 +83,7 @@
     scheduleCheck();
   }
 
-  /** Watches a former attempt again, whose head came. */
+  /** Monitors a previous attempt again, whose head had been received. */
   void previousResumed() {
     awaitsHead = false;
     scheduleCheck();
@@ -93,16 +95,16 @@
     lastProgress = now();
   }
 
-  /** Takes note of a change after which the engines need time again. */
+  /** Restarts the stall timeout after a change that the engines need time for. */
   void reset() {
     lastProgress = now();
   }
 
-  /** Takes note of a part of the answer. */
+  /** Notes that a part of the response arrived. */
   void partReceived() {
     long now = now();
-    // Head and first event come together, and events that were held up too: one short pause proves
-    // nothing.
+    // The head and the first event arrive together, and so do delayed events. A single short pause
+    // therefore does not prove that an engine is fast.
     boolean shortPause = now - lastProgress < longPauseNanos;
     boolean fast = shortPause && shortPauseBefore;
     shortPauseBefore = shortPause;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestProgress.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestProgress.java
@@ -5,19 +5,19 @@
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 
 /**
- * How far a request came, for the line that tells its end.
+ * The progress of a request, for log lines about its end.
  *
- * @param lastSentTo where it was sent last, empty if it never was
- * @param sends how often it was sent
- * @param sinceArrival since the request came
- * @param sinceProgress since its last sign of progress; since it came, if there was none
+ * @param lastSentTo the endpoint of the last send; empty if the request was never sent
+ * @param sends the number of sends
+ * @param sinceArrival the time since the request arrived
+ * @param sinceProgress the time since it last made progress; since it arrived if it was never sent
  */
 record RequestProgress(
     Optional<TrackedEndpoint> lastSentTo,
     int sends,
     Duration sinceArrival,
     Duration sinceProgress) {
-  /** The trail of a request that was refused as it came. */
+  /** Returns the progress of a request that was refused on arrival. */
   static RequestProgress none() {
     return new RequestProgress(Optional.empty(), 0, Duration.ZERO, Duration.ZERO);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
@@ -9,10 +9,10 @@
 import org.vaneworks.state.RequestContent;
 
 /**
- * One request as the quarantine sees it: whether it is held back, and what it did to endpoints.
+ * Quarantine checks for one request, and reports of endpoints lost while they ran it.
  *
- * <p>The content is worked out only once an endpoint was lost under some request, so that a calm
- * node digests no bodies. Confined to the node's event loop.
+ * <p>The content digest is computed lazily: no body is hashed before an endpoint is lost during
+ * some request. Confined to the node's event loop.
  */
 final class RequestQuarantine {
   private final ForwardContext context;
@@ -38,22 +38,22 @@
     return content().equals(other);
   }
 
-  /** Returns whether the request must not be sent now. */
+  /** Returns whether the request is quarantined and must not be sent. */
   boolean isQuarantined() {
     return !context.quarantine().isEmpty() && context.quarantine().holds(content());
   }
 
-  /** Returns whether one more end of an endpoint would hold the request back. */
+  /** Returns whether one more endpoint loss would quarantine the request. */
   boolean isOneLossShort() {
     return !context.quarantine().isEmpty() && context.quarantine().isOneEndShort(content());
   }
 
-  /** Notes that the request is sent, or goes on over another path. */
+  /** Notes that the request was sent, or continues over another path. */
   void started() {
     start = Optional.empty();
   }
 
-  /** Notes that an endpoint was lost that the request was sent to, or that ran part of its path. */
+  /** Notes the loss of an endpoint to which the request was sent or which was on its path. */
   void lost(TrackedEndpoint endpoint, Duration sinceSent, Optional<Duration> sinceFirstPart) {
     ForwardLog.lostEndpoint(request, content(), endpoint, sinceSent, sinceFirstPart);
     if (start.isEmpty()) {
@@ -62,14 +62,14 @@
     context.endedEndpoints().lost(endpoint, start.get(), sinceFirstPart.orElse(sinceSent));
   }
 
-  /** Notes that an endpoint answered the request whole. */
+  /** Notes that an endpoint completed the request. */
   void answered() {
     if (!context.quarantine().isEmpty()) {
       context.quarantine().noteAnswered(content());
     }
   }
 
-  /** Returns the answer to a request that was never sent because it is held back. */
+  /** Returns the refusal of a quarantined request that was never sent. */
   Refusal refusal() {
     return Refusal.before(Reason.QUARANTINED, "content " + content())
         .withRetryAfter(context.quarantine().remaining(content()));
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendDenial.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendDenial.java
@@ -1,22 +1,22 @@
 package org.vaneworks.coordination.forwarding;
 
-/** Why a request is not sent again. */
+/** The reason why a request is not sent again. */
 enum ResendDenial {
-  /** Part of the answer has reached the caller, and the rest can't be asked for. */
+  /** Part of the response has reached the caller, and the stream can't be resumed. */
   NOT_RESUMABLE("not-resumable"),
-  /** It may have run, and must not run twice. */
+  /** The request may have run, and it is not idempotent. */
   NOT_REPEATABLE("not-repeatable"),
-  /** It may have run on as many endpoints as its route allows. */
+  /** The request may have run on as many endpoints as its route allows. */
   ATTEMPTS_EXHAUSTED("attempts-used"),
-  /** It was turned away by as many endpoints as one request may ask. */
+  /** The request was sent as often as any request may be. */
   SENDS_EXHAUSTED("sends-used"),
-  /** Its time is over. */
+  /** The deadline of the request passed. */
   DEADLINE_EXCEEDED("time-used"),
-  /** Endpoints ended under requests of the same content. */
+  /** Endpoints crashed while they ran requests of the same content. */
   QUARANTINED("quarantined"),
-  /** The node's part of the fleet's repeated sends is spent. */
+  /** This node's share of the fleet's retry budget is exhausted. */
   BUDGET_EXHAUSTED("budget-spent"),
-  /** No other endpoint has room in time. */
+  /** No other endpoint has capacity in time. */
   NO_CAPACITY("no-room");
 
   private final String code;
@@ -25,7 +25,7 @@
     this.code = code;
   }
 
-  /** Returns the code that logs and meters use. */
+  /** Returns the code for logs and metrics. */
   String code() {
     return code;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResponseHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResponseHead.java
@@ -4,7 +4,7 @@
 import org.vaneworks.state.EndpointStatement;
 import org.vaneworks.state.HostPort;
 
-/** The head of an endpoint's answer as decisions see it; its headers stay with the transport. */
+/** The parts of an endpoint's response head that forwarding decisions use. */
 public interface ResponseHead {
   /** Returns the HTTP status. */
   int status();
@@ -12,16 +12,19 @@
   /** Returns whether the endpoint states that it did not run the request. */
   boolean notRun();
 
-  /** Returns whether it answers the request that was sent, and not an earlier one. */
+  /** Returns whether the response belongs to the request that was sent, not to an earlier one. */
   boolean matches();
 
-  /** Returns the engine of the path because of which the request was not run, if it is named. */
+  /**
+   * Returns the engine of the path that prevented the request from running, if the endpoint names
+   * it.
+   */
   Optional<HostPort> obstacle();
 
-  /** Returns what the endpoint says of itself. */
+  /** Returns the endpoint's statement about its own state. */
   EndpointStatement statement();
 
-  /** Returns whether this is an answer of success. */
+  /** Returns whether the status is 2xx. */
   default boolean success() {
     return status() >= 200 && status() < 300;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResponseMetrics.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResponseMetrics.java
@@ -8,9 +8,10 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * Records what the caller of one request sees: its first part, the pauses between parts, its end.
+ * Records the latencies that the caller of one request observes: time to the first part, pauses
+ * between parts, and total time.
  *
- * <p>Attempts don't matter here: a pause in which a request was sent again counts in full. Confined
+ * <p>Latencies span attempts: a pause during which the request was retried counts in full. Confined
  * to the node's event loop.
  */
 final class ResponseMetrics {
@@ -20,10 +21,10 @@
   private OptionalLong lastPartAt = OptionalLong.empty();
 
   /**
-   * Makes the times of a request without an answer.
+   * Creates metrics for a request that has no response yet.
    *
-   * @param streamed whether the answer comes in parts that are worth something by themselves
-   * @param startedAt when the request came, in ns of the node's clock
+   * @param streamed whether the response is a stream whose parts are useful individually
+   * @param startedAt when the request arrived, in nanoseconds of the node's clock
    */
   ResponseMetrics(Counters counters, boolean streamed, long startedAt) {
     this.counters = checkNotNull(counters);
@@ -31,7 +32,7 @@
     this.startedAt = startedAt;
   }
 
-  /** Takes note that a part of the answer came at a time in ns. */
+  /** Records that a part of the response arrived at {@code now}, in nanoseconds. */
   void recordPart(long now) {
     if (!streamed) {
       return;
@@ -44,7 +45,7 @@
     lastPartAt = OptionalLong.of(now);
   }
 
-  /** Takes note that the answer was whole at a time in ns. */
+  /** Records that the response was complete at {@code now}, in nanoseconds. */
   void recordCompletion(long now) {
     counters.record(Metric.REQUEST_TIME, Duration.ofNanos(now - startedAt));
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RunningAttempt.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RunningAttempt.java
@@ -10,7 +10,7 @@
 import org.vaneworks.state.Verdict;
 
 /**
- * The attempt of a request that counts at present. Times are those of the executor's clock, in
+ * An attempt in progress and its call to the endpoint. Times are those of the executor's clock, in
  * nanoseconds. Confined to the node's event loop.
  */
 final class RunningAttempt {
@@ -24,41 +24,41 @@
     this.sentAt = sentAt;
   }
 
-  /** Takes the call that was begun for it. */
+  /** Sets the call that carries the attempt. */
   void setCall(EndpointCall begun) {
     call = Optional.of(begun);
   }
 
-  /** Returns the endpoint that the request was sent to. */
+  /** Returns the endpoint to which the request was sent. */
   TrackedEndpoint endpoint() {
     return endpoint;
   }
 
-  /** Returns when it was sent. */
+  /** Returns when the request was sent. */
   long sentAt() {
     return sentAt;
   }
 
-  /** Notes that a part of the answer came. */
+  /** Notes that a part of the response arrived. */
   void notePart(long now) {
     if (firstPartAt.isEmpty()) {
       firstPartAt = OptionalLong.of(now);
     }
   }
 
-  /** Returns how long ago the first part of the answer came, empty if none did. */
+  /** Returns the time since the first part of the response; empty if there was none. */
   Optional<Duration> sinceFirstPart(long now) {
     return firstPartAt.isPresent()
         ? Optional.of(Duration.ofNanos(now - firstPartAt.getAsLong()))
         : Optional.empty();
   }
 
-  /** Returns whether the endpoint may have the request. */
+  /** Returns whether the request may have reached the endpoint. */
   boolean mayHaveArrived() {
     return call.filter(EndpointCall::mayHaveArrived).isPresent();
   }
 
-  /** Returns what is known of it if it is left now. */
+  /** Returns whether the request may have run if the attempt is abandoned now. */
   Verdict verdictIfAbandoned() {
     return mayHaveArrived() ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Takes a caller's request to an endpoint and its answer back: admission, choice of the endpoint or
- * path, what may be sent again, continuing a broken stream, time limits.
+ * Forwards callers' requests to endpoints and returns the responses: admission, selection of an
+ * endpoint or engine path, retries, resumption of interrupted streams, and deadlines.
  *
  * <p>{@code Forwarder} is called by the entry server for each request. Ports: {@code
  * EndpointTransport} towards endpoints, {@code CallerResponse} towards the caller. Confined to the
