--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerDeadlines.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerDeadlines.java
@@ -27,14 +27,15 @@
    */
   private static final Duration REFUSAL_MARGIN = Duration.ofMillis(100);
 
-  /** Reconnecting takes about this long in any case. */
+  /** Minimum retry-after time; reconnecting takes about this long anyway. */
   private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(100);
 
-  /** Callers ignore retry-after times above this fraction (1/n) of their remaining time. */
+  /** Callers only honour a retry-after time of at most their remaining time divided by this. */
   private static final int MAX_RETRY_AFTER_DIVISOR = 3;
 
   /**
-   * Retry-after times range from this factor of the expected wait to as much above it (0.75-1.25).
+   * Smallest jitter factor for the expected wait; the largest one is as much above 1 (0.75 to
+   * 1.25).
    */
   private static final double MIN_JITTER_FACTOR = 0.75;
 
@@ -43,12 +44,12 @@
 
   private final EntryRoute route;
   private final long startedAt;
-  private final Duration limit;
+  private final Duration timeout;
 
-  private CallerDeadlines(EntryRoute route, long startedAt, Duration limit) {
+  private CallerDeadlines(EntryRoute route, long startedAt, Duration timeout) {
     this.route = route;
     this.startedAt = startedAt;
-    this.limit = limit;
+    this.timeout = timeout;
   }
 
   /**
@@ -58,14 +59,15 @@
    */
   static CallerDeadlines of(EntryRoute route, Optional<Duration> stated, long startedAt) {
     checkNotNull(route);
-    Duration timeout = stated.orElse(route.timeout());
-    Duration limit = timeout.compareTo(route.timeout()) < 0 ? timeout : route.timeout();
-    return new CallerDeadlines(route, startedAt, limit);
+    Duration callerTimeout = stated.orElse(route.timeout());
+    Duration timeout =
+        callerTimeout.compareTo(route.timeout()) < 0 ? callerTimeout : route.timeout();
+    return new CallerDeadlines(route, startedAt, timeout);
   }
 
   /** Returns the deadline of the request. */
-  long endsAt() {
-    return startedAt + limit.toNanos();
+  long deadline() {
+    return startedAt + timeout.toNanos();
   }
 
   /**
@@ -79,13 +81,13 @@
 
   /** Returns until when the request may wait in the queue. */
   long waitsUntil(Duration firstPartTime) {
-    long callerLeaves = Math.min(endsAt(), startedAt + firstPartTimeout().toNanos());
-    return callerLeaves - REFUSAL_MARGIN.toNanos() - firstPartTime.toNanos();
+    long callerGivesUpAt = Math.min(deadline(), startedAt + firstPartTimeout().toNanos());
+    return callerGivesUpAt - REFUSAL_MARGIN.toNanos() - firstPartTime.toNanos();
   }
 
   private Duration firstPartTimeout() {
     if (!route.kind().streamed()) {
-      return limit;
+      return timeout;
     }
     return Ordering.<Duration>natural()
         .max(
@@ -103,10 +105,10 @@
    * @param draw a number in [0, 1)
    */
   Duration retryAfter(Duration expected, Duration untilOpen, long now, double draw) {
-    Duration soonest = Ordering.<Duration>natural().max(expected, MIN_RETRY_AFTER);
-    long latest = Math.max(0, endsAt() - now) / MAX_RETRY_AFTER_DIVISOR;
-    double share = MIN_JITTER_FACTOR + 2 * (1 - MIN_JITTER_FACTOR) * draw;
-    long afterWait = Math.min(latest, (long) (soonest.toNanos() * share));
+    Duration wait = Ordering.<Duration>natural().max(expected, MIN_RETRY_AFTER);
+    long maxDelay = Math.max(0, deadline() - now) / MAX_RETRY_AFTER_DIVISOR;
+    double jitterFactor = MIN_JITTER_FACTOR + 2 * (1 - MIN_JITTER_FACTOR) * draw;
+    long afterWait = Math.min(maxDelay, (long) (wait.toNanos() * jitterFactor));
     long afterBackoff = (long) (untilOpen.toNanos() * (1 + BACKOFF_JITTER * draw));
     return Duration.ofNanos(Math.max(afterWait, afterBackoff));
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CapacityQueue.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CapacityQueue.java
@@ -43,7 +43,7 @@
     /** The caller has already received a part of the response. */
     CONTINUES,
     /** The request can still meet its objective. */
-    IN_TIME,
+    ON_TIME,
     /** The request can no longer meet its objective. */
     LATE
   }
@@ -83,12 +83,12 @@
     int priority();
   }
 
-  private record Entry(Waiter waiter, long since) {
+  private record Entry(Waiter waiter, long queuedAt) {
     Rank rank(long now) {
       if (waiter.continues()) {
         return Rank.CONTINUES;
       }
-      return now <= waiter.onTimeUntil() ? Rank.IN_TIME : Rank.LATE;
+      return now <= waiter.onTimeUntil() ? Rank.ON_TIME : Rank.LATE;
     }
   }
 
@@ -97,7 +97,7 @@
   private boolean pollScheduled;
   private double startsPerSecond;
   private long rateUpdatedAt;
-  private double firstPartNanos;
+  private double averageFirstPartNanos;
   private OptionalLong shortageSince = OptionalLong.empty();
 
   CapacityQueue(Executor clock) {
@@ -140,18 +140,18 @@
    * again.
    */
   Duration expectedWait() {
-    long lasted = shortageSince.isPresent() ? now() - shortageSince.getAsLong() : 0;
-    return Duration.ofNanos(Math.max(lasted, (long) waitBehind(entries.size())));
+    long shortageNanos = shortageSince.isPresent() ? now() - shortageSince.getAsLong() : 0;
+    return Duration.ofNanos(Math.max(shortageNanos, (long) waitBehind(entries.size())));
   }
 
   /** Records the time from sending a request to the first part of its response. */
   void recordFirstPartTime(long nanos) {
-    firstPartNanos += FIRST_PART_SMOOTHING * (nanos - firstPartNanos);
+    averageFirstPartNanos += FIRST_PART_SMOOTHING * (nanos - averageFirstPartNanos);
   }
 
   /** Returns the average time from sending a request to the first part of its response. */
   Duration firstPartTime() {
-    return Duration.ofNanos((long) firstPartNanos);
+    return Duration.ofNanos((long) averageFirstPartNanos);
   }
 
   private void schedulePoll() {
@@ -224,7 +224,7 @@
     return ImmutableList.sortedCopyOf(
         Comparator.comparing((Entry entry) -> entry.rank(now))
             .thenComparingInt(entry -> entry.waiter().priority())
-            .thenComparingLong(Entry::since),
+            .thenComparingLong(Entry::queuedAt),
         entries);
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
@@ -89,7 +89,7 @@
   /** Returns the suspected engines of the path, in path order. */
   ImmutableList<TrackedEndpoint> suspected() {
     return path.stream()
-        .flatMap(taken -> taken.parts().stream())
+        .flatMap(selection -> selection.parts().stream())
         .map(PathPart::engine)
         .filter(TrackedEndpoint::suspected)
         .collect(ImmutableList.toImmutableList());
@@ -131,7 +131,7 @@
     Selection previous = new Selection(target(), path);
     Optional<Selection> next = findElsewhere();
     next.ifPresent(this::assign);
-    return next.map(taken -> previous);
+    return next.map(selection -> previous);
   }
 
   /** Releases the present selection and reverts to a previous one that is still reserved. */
@@ -205,9 +205,9 @@
   }
 
   /** Returns an alternative path with the same first part that avoids the given engines. */
-  Optional<EnginePath> alternativePath(ImmutableList<TrackedEndpoint> without) {
+  Optional<EnginePath> alternativePath(ImmutableList<TrackedEndpoint> excluded) {
     PathPart first = path.orElseThrow().parts().get(0);
-    return context.planner().replan(query(), usable(without), first);
+    return context.planner().replan(query(), usable(excluded), first);
   }
 
   /** Returns the engine of the same service at the given address. */
@@ -243,23 +243,23 @@
 
   /** Releases the present selection. */
   void release() {
-    target.ifPresent(taken -> release(new Selection(taken, path)));
+    target.ifPresent(selection -> release(new Selection(selection, path)));
     path = Optional.empty();
     target = Optional.empty();
   }
 
   /** Releases the reservation of a previous selection. */
-  void release(Selection taken) {
-    if (taken.path().isPresent()) {
-      taken.path().get().release(size.tokens());
+  void release(Selection selection) {
+    if (selection.path().isPresent()) {
+      selection.path().get().release(size.tokens());
     } else {
-      taken.target().release(0);
+      selection.target().release(0);
     }
   }
 
-  private ImmutableList<TrackedEndpoint> usable(ImmutableList<TrackedEndpoint> without) {
+  private ImmutableList<TrackedEndpoint> usable(ImmutableList<TrackedEndpoint> excluded) {
     return context.fleet().usable(service).stream()
-        .filter(engine -> !without.contains(engine))
+        .filter(engine -> !excluded.contains(engine))
         .collect(ImmutableList.toImmutableList());
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EventSplitter.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EventSplitter.java
@@ -17,20 +17,20 @@
 
   private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
 
-  /** The latest complete events that include an id; parsed lazily by {@link #lastId}. */
-  private byte[] lastWithId = {};
+  /** The latest chunk of complete events that contains an id; parsed by {@link #lastId}. */
+  private byte[] lastEventsWithId = {};
 
   /** Appends bytes; returns the complete events that are available, possibly none. */
   byte[] append(byte[] bytes) {
     byte[] pending = withPartial(bytes);
-    int end = endOfWholeEvents(pending);
+    int end = endOfCompleteEvents(pending);
     partial.write(pending, end, pending.length - end);
     // Endpoints usually write whole events, so the input rarely has to be split.
-    byte[] whole = end == pending.length ? pending : Arrays.copyOf(pending, end);
-    if (startOfLastId(whole) >= 0) {
-      lastWithId = whole;
+    byte[] complete = end == pending.length ? pending : Arrays.copyOf(pending, end);
+    if (startOfLastId(complete) >= 0) {
+      lastEventsWithId = complete;
     }
-    return whole;
+    return complete;
   }
 
   private byte[] withPartial(byte[] bytes) {
@@ -43,9 +43,9 @@
 
   /** Returns the buffered bytes of an incomplete event and clears the buffer. */
   byte[] takePartial() {
-    byte[] takePartial = partial.toByteArray();
+    byte[] bytes = partial.toByteArray();
     partial.reset();
-    return takePartial;
+    return bytes;
   }
 
   /** Replaces the buffer with bytes that {@link #takePartial} returned before. */
@@ -56,36 +56,36 @@
 
   /** Returns the id of the last complete event that had one. */
   Optional<String> lastId() {
-    int start = startOfLastId(lastWithId);
+    int start = startOfLastId(lastEventsWithId);
     if (start < 0) {
       return Optional.empty();
     }
     int end = start;
-    while (lastWithId[end] != '\n' && lastWithId[end] != '\r') {
+    while (lastEventsWithId[end] != '\n' && lastEventsWithId[end] != '\r') {
       end++;
     }
-    return Optional.of(new String(lastWithId, start, end - start, UTF_8).strip());
+    return Optional.of(new String(lastEventsWithId, start, end - start, UTF_8).strip());
   }
 
-  private static int endOfWholeEvents(byte[] bytes) {
+  private static int endOfCompleteEvents(byte[] bytes) {
     for (int i = bytes.length - 1; i > 0; i--) {
-      if (bytes[i] == '\n' && (bytes[i - 1] == '\n' || endsInCrLf(bytes, i))) {
+      if (bytes[i] == '\n' && (bytes[i - 1] == '\n' || endsWithCrLf(bytes, i))) {
         return i + 1;
       }
     }
     return 0;
   }
 
-  private static boolean endsInCrLf(byte[] bytes, int i) {
+  private static boolean endsWithCrLf(byte[] bytes, int i) {
     return i >= 3 && bytes[i - 1] == '\r' && bytes[i - 2] == '\n' && bytes[i - 3] == '\r';
   }
 
   /** Returns the index at which the value of the last id field starts, or -1 if there is none. */
-  private static int startOfLastId(byte[] whole) {
-    for (int i = whole.length - ID_FIELD.length; i >= 0; i--) {
-      boolean startsLine = i == 0 || whole[i - 1] == '\n' || whole[i - 1] == '\r';
+  private static int startOfLastId(byte[] complete) {
+    for (int i = complete.length - ID_FIELD.length; i >= 0; i--) {
+      boolean startsLine = i == 0 || complete[i - 1] == '\n' || complete[i - 1] == '\r';
       if (startsLine
-          && Arrays.equals(whole, i, i + ID_FIELD.length, ID_FIELD, 0, ID_FIELD.length)) {
+          && Arrays.equals(complete, i, i + ID_FIELD.length, ID_FIELD, 0, ID_FIELD.length)) {
         return i + ID_FIELD.length;
       }
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
@@ -48,15 +48,15 @@
   private final EntryRoute route;
   private final Optional<Caller> caller;
   private final CallerRequest request;
-  private final CallerResponse answer;
+  private final CallerResponse response;
   private final Consumer<ForwardedRequest> onDone;
   private final String service;
   private final EndpointSelector selector;
   private final ProgressMonitor progress;
   private final long startedAt;
-  private final CallerDeadlines patience;
-  private final long endsAt;
-  private final ResponseMetrics times;
+  private final CallerDeadlines deadlines;
+  private final long deadline;
+  private final ResponseMetrics metrics;
   private final CapacityQueue queue;
   private final CapacityQueue.Waiter waiter = new QueueWaiter();
   private final EventSplitter splitter = new EventSplitter();
@@ -78,7 +78,7 @@
   private boolean headSent;
   private boolean queued;
   private boolean done;
-  private Cancellable limitTimer = () -> {};
+  private Cancellable deadlineTimer = () -> {};
 
   private ForwardedRequest(
       ForwardContext context,
@@ -86,13 +86,13 @@
       EntryRoute route,
       Optional<Caller> caller,
       CallerRequest request,
-      CallerResponse answer,
+      CallerResponse response,
       Consumer<ForwardedRequest> onDone) {
     this.context = context;
     this.route = route;
     this.caller = caller;
     this.request = request;
-    this.answer = answer;
+    this.response = response;
     this.onDone = onDone;
     this.service = route.service(context.random().nextDouble());
     this.selector =
@@ -103,13 +103,13 @@
             request.size());
     this.quarantine = new RequestQuarantine(context, request, caller.map(Caller::workspace));
     this.queue = context.queues().of(service);
-    this.progress = new ProgressMonitor(context, selector, route.pauseObjective(), this::stalled);
+    this.progress = new ProgressMonitor(context, selector, route.pauseObjective(), this::onStall);
     this.failover = new Failover(context.clock(), new FailoverCallbacks());
     this.repairs = new PathRepairs(context, request, selector, quarantine, new RepairCallbacks());
     this.startedAt = now();
-    this.patience = CallerDeadlines.of(route, request.callerTimeout(), startedAt);
-    this.endsAt = patience.endsAt();
-    this.times = new ResponseMetrics(context.counters(), route.kind().streamed(), startedAt);
+    this.deadlines = CallerDeadlines.of(route, request.callerTimeout(), startedAt);
+    this.deadline = deadlines.deadline();
+    this.metrics = new ResponseMetrics(context.counters(), route.kind().streamed(), startedAt);
   }
 
   static ForwardedRequest create(
@@ -118,14 +118,14 @@
       EntryRoute route,
       Optional<Caller> caller,
       CallerRequest request,
-      CallerResponse answer,
+      CallerResponse response,
       Consumer<ForwardedRequest> onDone) {
-    return new ForwardedRequest(context, configuration, route, caller, request, answer, onDone);
+    return new ForwardedRequest(context, configuration, route, caller, request, response, onDone);
   }
 
   void start() {
-    limitTimer =
-        context.clock().schedule(this::onDeadline, Math.max(0, endsAt - startedAt), NANOSECONDS);
+    deadlineTimer =
+        context.clock().schedule(this::onDeadline, Math.max(0, deadline - startedAt), NANOSECONDS);
     context.budget().earn();
     if (quarantine.isQuarantined()) {
       refuseQuarantined();
@@ -152,7 +152,7 @@
     @Override
     public boolean start() {
       queued = false;
-      if (failover.isActive() ? failOver() : begin()) {
+      if (failover.isActive() ? failOver() : startAttempt()) {
         return true;
       }
       queued = true;
@@ -189,7 +189,7 @@
 
     @Override
     public long onTimeUntil() {
-      return patience.onTimeUntil(queue.firstPartTime());
+      return deadlines.onTimeUntil(queue.firstPartTime());
     }
 
     @Override
@@ -197,7 +197,7 @@
       if (headSent) {
         return progress.lastProgress() + RESUME_TIMEOUT.toNanos();
       }
-      return patience.waitsUntil(queue.firstPartTime());
+      return deadlines.waitsUntil(queue.firstPartTime());
     }
 
     @Override
@@ -212,15 +212,15 @@
    * An attempt that continues while its replacement waits for a response.
    *
    * @param partOfEvent the bytes of an incomplete event
-   * @param abandoned why the attempt is to be abandoned
+   * @param trigger why the attempt is to be abandoned
    */
   private record PreviousAttempt(
       RunningAttempt attempt,
-      EndpointSelector.Selection selector,
+      EndpointSelector.Selection selection,
       byte[] partOfEvent,
-      Trigger abandoned) {}
+      Trigger trigger) {}
 
-  private boolean begin() {
+  private boolean startAttempt() {
     if (!selector.select()) {
       return false;
     }
@@ -230,7 +230,7 @@
 
   private void send() {
     sends++;
-    quarantine.started();
+    quarantine.noteSent();
     RunningAttempt running = new RunningAttempt(selector.target(), now());
     attempt = Optional.of(running);
     lastSentTo = Optional.of(running.endpoint());
@@ -239,7 +239,7 @@
             request,
             running.endpoint().endpoint(),
             selector.path().map(EnginePath::text),
-            Duration.ofNanos(Math.max(0, endsAt - now())),
+            Duration.ofNanos(Math.max(0, deadline - now())),
             caller.map(Caller::workspace),
             splitter.lastId());
     ForwardLog.sent(request, sent, sends);
@@ -308,7 +308,7 @@
       queue.recordFirstPartTime(now() - running.sentAt());
     }
     firstPartReceived = true;
-    times.recordPart(now());
+    metrics.recordPart(now());
   }
 
   /** Records the endpoint's statement, unless another endpoint may have responded in its place. */
@@ -334,7 +334,7 @@
       resumed(head, running);
     } else {
       headSent = true;
-      answer.head(head);
+      response.head(head);
     }
   }
 
@@ -345,7 +345,7 @@
       attemptEnded(Verdict.RAN, AttemptFailure.ENDPOINT_ERROR, "status " + head.status());
     } else {
       headSent = true;
-      answer.head(head);
+      response.head(head);
     }
   }
 
@@ -361,7 +361,7 @@
 
   private void passOn(byte[] bytes, RunningAttempt running) {
     byte[] whole = route.kind().streamed() ? splitter.append(bytes) : bytes;
-    if (whole.length > 0 && !answer.data(whole)) {
+    if (whole.length > 0 && !response.data(whole)) {
       running.pause();
     }
   }
@@ -374,14 +374,14 @@
   }
 
   private void finish() {
-    quarantine.answered();
-    byte[] rest = splitter.takePartial();
-    if (rest.length > 0) {
-      answer.data(rest);
+    quarantine.noteCompleted();
+    byte[] partialEvent = splitter.takePartial();
+    if (partialEvent.length > 0) {
+      response.data(partialEvent);
     }
     close();
-    times.recordCompletion(now());
-    answer.end();
+    metrics.recordCompletion(now());
+    response.end();
   }
 
   private void failed(boolean neverSent, Throwable cause, TrackedEndpoint endpoint) {
@@ -440,7 +440,7 @@
     lastFailure = failure;
     repairs.attemptEnded();
     failover.stop();
-    return splitter.takePartial().length == 0 ? cause : cause + ", part of an event dropped";
+    return splitter.takePartial().length == 0 ? cause : cause + ", partial event dropped";
   }
 
   private void logSentAgain(String triedAt, AttemptFailure failure, String detail) {
@@ -479,7 +479,7 @@
   }
 
   private Optional<ResendDenial> resendDenial(Verdict verdict, int runsSoFar) {
-    if (now() >= endsAt) {
+    if (now() >= deadline) {
       return Optional.of(ResendDenial.DEADLINE_EXCEEDED);
     }
     return ResendRule.denial(route.kind(), verdict, runsSoFar, route.attempts(), sends);
@@ -489,7 +489,7 @@
     if (headSent) {
       close();
       ForwardLog.cut(request, lastFailure, denial, detail, requestProgress(), context.counters());
-      answer.abort();
+      response.abort();
       return;
     }
     Refusal refusal;
@@ -515,7 +515,7 @@
 
   private Duration retryAfter() {
     Duration untilOpen = selector.openings().untilFirst(now());
-    return patience.retryAfter(
+    return deadlines.retryAfter(
         queue.expectedWait(), untilOpen, now(), context.random().nextDouble());
   }
 
@@ -552,7 +552,7 @@
     done = true;
     cancelPrevious();
     selector.release();
-    limitTimer.cancel();
+    deadlineTimer.cancel();
     progress.stop();
     leaveQueue();
     onDone.accept(this);
@@ -570,7 +570,7 @@
     if (!uses(engine)) {
       return;
     }
-    boolean delivers = headSent && progress.isRecent();
+    boolean delivers = headSent && progress.hasRecentProgress();
     if (engine.processGone() || !delivers) {
       bypass(engine);
     }
@@ -622,8 +622,8 @@
     }
 
     @Override
-    public boolean isCurrent(RunningAttempt wanted) {
-      return ForwardedRequest.this.isCurrent(wanted);
+    public boolean isCurrent(RunningAttempt candidate) {
+      return ForwardedRequest.this.isCurrent(candidate);
     }
 
     @Override
@@ -641,7 +641,7 @@
     public void repaired() {
       progress.reset();
       failover.stop();
-      quarantine.started();
+      quarantine.noteSent();
     }
 
     @Override
@@ -690,8 +690,8 @@
   private Optional<ResendDenial> denialIfAbandoned() {
     Verdict verdict = running().verdictIfAbandoned();
     Optional<ResendDenial> denial = denial(verdict, verdict == Verdict.NOT_RUN ? runs : runs + 1);
-    boolean spent = denial.isEmpty() && !context.budget().canSpend();
-    return spent ? Optional.of(ResendDenial.BUDGET_EXHAUSTED) : denial;
+    boolean exhausted = denial.isEmpty() && !context.budget().canSpend();
+    return exhausted ? Optional.of(ResendDenial.BUDGET_EXHAUSTED) : denial;
   }
 
   /** Replaces the attempt by one at another endpoint, if one has capacity now. */
@@ -705,30 +705,30 @@
   }
 
   private boolean replaceAttempt() {
-    Trigger abandoned = failover.trigger();
+    Trigger trigger = failover.trigger();
     TrackedEndpoint endpoint = selector.target();
     if (!selector.select()) {
       return false;
     }
     context.budget().spend();
-    String detail = abortAttempt(abandoned, endpoint);
-    logSentAgain(endpoint.toString(), abandoned.failure(), detail);
+    String detail = abortAttempt(trigger, endpoint);
+    logSentAgain(endpoint.toString(), trigger.failure(), detail);
     send();
     return true;
   }
 
   /** Starts a second attempt elsewhere and keeps the present one, as the new one may be refused. */
   private boolean startConcurrentAttempt() {
-    Optional<EndpointSelector.Selection> taken = selector.selectAdditional();
-    if (taken.isEmpty()) {
+    Optional<EndpointSelector.Selection> present = selector.selectAdditional();
+    if (present.isEmpty()) {
       return false;
     }
     context.budget().spend();
-    Trigger abandoned = failover.trigger();
+    Trigger trigger = failover.trigger();
     previous =
-        Optional.of(new PreviousAttempt(running(), taken.get(), splitter.takePartial(), abandoned));
-    closeAttempt(running().verdictIfAbandoned(), abandoned.failure(), abandoned.cause());
-    logSentAgain(taken.get().target().toString(), abandoned.failure(), abandoned.cause());
+        Optional.of(new PreviousAttempt(running(), present.get(), splitter.takePartial(), trigger));
+    closeAttempt(running().verdictIfAbandoned(), trigger.failure(), trigger.cause());
+    logSentAgain(present.get().target().toString(), trigger.failure(), trigger.cause());
     send();
     return true;
   }
@@ -737,21 +737,21 @@
   private void supersedeReplacement() {
     Verdict verdict = running().verdictIfAbandoned();
     running().cancel();
-    closeAttempt(verdict, AttemptFailure.SUPERSEDED, "the former endpoint answers");
+    closeAttempt(verdict, AttemptFailure.SUPERSEDED, "the previous endpoint responded");
     context.counters().count(Metric.DROPPED_ANSWERS, AttemptFailure.SUPERSEDED.code());
     restorePrevious();
   }
 
   /** Continues the previous attempt after its replacement failed, and retries the failover. */
   private void fallBackToPrevious(Verdict verdict) {
-    Trigger abandoned = restorePrevious().abandoned();
-    boolean lost = abandoned.unresponsive().suspected() || abandoned.unresponsive().hasEnded();
+    Trigger trigger = restorePrevious().trigger();
+    boolean lost = trigger.unresponsive().suspected() || trigger.unresponsive().hasEnded();
     if (lost) {
       Duration wait =
           verdict == Verdict.NOT_RUN || !quarantine.isOneLossShort()
               ? Duration.ZERO
               : FAILURE_DETECTION_DELAY;
-      failover.start(abandoned, wait);
+      failover.start(trigger, wait);
     }
   }
 
@@ -760,7 +760,7 @@
     previous = Optional.empty();
     attempt = Optional.of(resumed.attempt());
     runs--;
-    selector.revertTo(resumed.selector());
+    selector.revertTo(resumed.selection());
     splitter.restorePartial(resumed.partOfEvent());
     progress.previousResumed();
     resumed.attempt().resume();
@@ -782,7 +782,7 @@
     previous.ifPresent(
         abandoned -> {
           abandoned.attempt().cancel();
-          selector.release(abandoned.selector());
+          selector.release(abandoned.selection());
         });
     previous = Optional.empty();
   }
@@ -794,18 +794,18 @@
     noteFailure(cause, failed.endpoint());
   }
 
-  private boolean isPrevious(RunningAttempt wanted) {
-    return !done && previous.filter(earlier -> earlier.attempt() == wanted).isPresent();
+  private boolean isPrevious(RunningAttempt candidate) {
+    return !done && previous.filter(earlier -> earlier.attempt() == candidate).isPresent();
   }
 
   /** Aborts the attempt; returns the cause, including whether a partial event was dropped. */
-  private String abortAttempt(Trigger abandoned, TrackedEndpoint endpoint) {
+  private String abortAttempt(Trigger trigger, TrackedEndpoint endpoint) {
     Verdict verdict = running().verdictIfAbandoned();
     if (verdict == Verdict.MAY_HAVE_RUN) {
       noteLost(endpoint);
     }
     running().cancel();
-    return closeAttempt(verdict, abandoned.failure(), abandoned.cause());
+    return closeAttempt(verdict, trigger.failure(), trigger.cause());
   }
 
   /**
@@ -814,30 +814,30 @@
    * <p>Otherwise, a caller that has no part of the response yet is refused at once, so that it can
    * retry.
    */
-  private void stayOrFail(Trigger wanted, ResendDenial denial) {
+  private void stayOrFail(Trigger trigger, ResendDenial denial) {
     if (headSent || !mayAbort()) {
       failover.runOncePerFailover(
           () ->
               ForwardLog.stayed(
-                  request, wanted.failure(), denial, requestProgress(), context.counters()));
+                  request, trigger.failure(), denial, requestProgress(), context.counters()));
       return;
     }
     Verdict verdict = running().verdictIfAbandoned();
-    abortAttempt(wanted, selector.target());
+    abortAttempt(trigger, selector.target());
     selector.release();
-    giveUp(verdict, denial, wanted.failure().code() + ": " + wanted.cause());
+    giveUp(verdict, denial, trigger.failure().code() + ": " + trigger.cause());
   }
 
   private RunningAttempt running() {
     return attempt.orElseThrow();
   }
 
-  private boolean isCurrent(RunningAttempt wanted) {
-    return !done && attempt.filter(present -> present == wanted).isPresent();
+  private boolean isCurrent(RunningAttempt candidate) {
+    return !done && attempt.filter(present -> present == candidate).isPresent();
   }
 
   /** Retries or starts a failover for a stalled request. */
-  private void stalled() {
+  private void onStall() {
     if (done || attempt.isEmpty()) {
       return;
     }
@@ -873,10 +873,10 @@
   }
 
   /** Notes the loss of an endpoint that has the attempt or is on its path. */
-  private void noteLost(RunningAttempt abandoned, TrackedEndpoint endpoint) {
+  private void noteLost(RunningAttempt affected, TrackedEndpoint endpoint) {
     long now = now();
-    Duration sinceSent = Duration.ofNanos(now - abandoned.sentAt());
-    quarantine.lost(endpoint, sinceSent, abandoned.sinceFirstPart(now));
+    Duration sinceSent = Duration.ofNanos(now - affected.sentAt());
+    quarantine.noteLost(endpoint, sinceSent, affected.sinceFirstPart(now));
   }
 
   /** Called when requests of a content are quarantined: refuses this one if it is waiting. */
@@ -897,7 +897,7 @@
 
   private void refuse(Refusal refusal) {
     ForwardLog.refused(request, refusal, requestProgress(), context.counters());
-    answer.refuse(refusal);
+    response.refuse(refusal);
   }
 
   private long now() {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
@@ -137,53 +137,53 @@
   }
 
   /** Forwards a request whose body has been read; returns the listener for its caller's events. */
-  public CallerResponse.Listener forward(CallerRequest request, CallerResponse answer) {
+  public CallerResponse.Listener forward(CallerRequest request, CallerResponse response) {
     if (configuration.get().isPresent()) {
-      return admit(request, answer);
+      return admit(request, response);
     }
     PendingRequest pending = new PendingRequest();
-    waitForConfiguration(request, answer, pending, clock.currentTime(NANOSECONDS));
+    waitForConfiguration(request, response, pending, clock.currentTime(NANOSECONDS));
     return pending;
   }
 
   private void waitForConfiguration(
-      CallerRequest request, CallerResponse answer, PendingRequest pending, long arrivedAt) {
+      CallerRequest request, CallerResponse response, PendingRequest pending, long arrivedAt) {
     if (pending.isDisconnected()) {
       return;
     }
     boolean timedOut =
         clock.currentTime(NANOSECONDS) - arrivedAt >= CONFIGURATION_TIMEOUT.toNanos();
     if (configuration.get().isPresent() || timedOut) {
-      pending.delegateTo(admit(request, answer));
+      pending.delegateTo(admit(request, response));
       return;
     }
     clock.schedule(
-        () -> waitForConfiguration(request, answer, pending, arrivedAt),
+        () -> waitForConfiguration(request, response, pending, arrivedAt),
         CONFIGURATION_POLL_INTERVAL.toNanos(),
         NANOSECONDS);
   }
 
-  private CallerResponse.Listener admit(CallerRequest request, CallerResponse answer) {
+  private CallerResponse.Listener admit(CallerRequest request, CallerResponse response) {
     Optional<EntryConfiguration> known = configuration.get();
     if (known.isEmpty()) {
-      return refuse(request, answer, Reason.NOT_READY, "no configuration has been read yet");
+      return refuse(request, response, Reason.NOT_READY, "no configuration has been read yet");
     }
     if (!hasFreshConfiguration()) {
       return refuse(
-          request, answer, Reason.CONFIGURATION_STALE, "the store has not confirmed it lately");
+          request, response, Reason.CONFIGURATION_STALE, "the store has not confirmed it lately");
     }
     if (stopping) {
-      return refuse(request, answer, Reason.STOPPING, "the node is about to end");
+      return refuse(request, response, Reason.STOPPING, "the node is about to end");
     }
     EntryConfiguration configured = known.get();
     Optional<EntryRoute> route = configured.route(request.host(), request.path());
     if (route.isEmpty()) {
-      return refuse(request, answer, Reason.UNKNOWN_PATH, request.host() + request.path());
+      return refuse(request, response, Reason.UNKNOWN_PATH, request.host() + request.path());
     }
     Optional<Caller> caller = request.key().flatMap(configured::caller);
     boolean keyed = configured.needsKeys() && !route.get().open();
     if (keyed && caller.isEmpty()) {
-      return refuse(request, answer, Reason.UNKNOWN_KEY, "route " + route.get().name());
+      return refuse(request, response, Reason.UNKNOWN_KEY, "route " + route.get().name());
     }
     ForwardedRequest forwarded =
         ForwardedRequest.create(
@@ -192,7 +192,7 @@
             route.get(),
             keyed ? caller : Optional.empty(),
             request,
-            answer,
+            response,
             inFlight::remove);
     inFlight.add(forwarded);
     context.counters().count(Metric.REQUESTS, route.get().kind().name());
@@ -224,13 +224,13 @@
   }
 
   private CallerResponse.Listener refuse(
-      CallerRequest request, CallerResponse answer, Reason reason, String detail) {
+      CallerRequest request, CallerResponse response, Reason reason, String detail) {
     Refusal refusal = Refusal.before(reason, detail);
     if (reason.status() == 503) {
       refusal = refusal.withRetryAfter(RETRY_AFTER);
     }
     ForwardLog.refused(request, refusal, RequestProgress.none(), context.counters());
-    answer.refuse(refusal);
+    response.refuse(refusal);
     return new PendingRequest();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
@@ -37,7 +37,7 @@
     /**
      * Fails over to other engines.
      *
-     * @param end why the current attempt is to be abandoned
+     * @param failure why the current attempt is to be abandoned
      */
     void failOver(AttemptFailure failure);
   }
@@ -86,31 +86,31 @@
     requestPathChange(ImmutableList.of(lost));
   }
 
-  private void requestPathChange(ImmutableList<TrackedEndpoint> without) {
+  private void requestPathChange(ImmutableList<TrackedEndpoint> excluded) {
     if (attemptsLeft <= 0 || quarantined.getAsBoolean()) {
       fail(AttemptFailure.PATH_LOST);
       return;
     }
     if (!context.fleet().statements().admits(selector.target(), CallPurpose.PATH_CHANGE)) {
-      ForwardLog.pathChanged(request, cause, "the first engine wants no calls", "");
+      ForwardLog.pathChanged(request, cause, "first engine refuses path changes for now", "");
       failOverOrRetry();
       return;
     }
     attemptsLeft--;
-    Optional<EnginePath> next = selector.alternativePath(without);
+    Optional<EnginePath> next = selector.alternativePath(excluded);
     if (next.isEmpty()) {
       ForwardLog.pathChanged(request, cause, "no other path", "");
       retryLater();
       return;
     }
-    String text = next.get().text();
+    String pathText = next.get().text();
     context.fleet().statements().noteCall(selector.target(), CallPurpose.PATH_CHANGE);
     Async.onDone(
-        context.control().repath(selector.target().endpoint(), request.id(), text),
+        context.control().repath(selector.target().endpoint(), request.id(), pathText),
         context.clock(),
         (outcome, failure) -> {
           if (stillRelevant.getAsBoolean()) {
-            ForwardLog.pathChanged(request, cause, failure == null ? outcome : failure, text);
+            ForwardLog.pathChanged(request, cause, failure == null ? outcome : failure, pathText);
             onOutcome(next.get(), outcome, failure);
           }
         });
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
@@ -32,7 +32,7 @@
   private final Runnable onStall;
   private Cancellable timer = () -> {};
   private boolean awaitsHead;
-  private boolean shortPauseBefore;
+  private boolean previousPauseShort;
   private long lastProgress;
   private long checkDueAt;
 
@@ -65,7 +65,7 @@
   /**
    * Returns whether the request made progress recently, which shows that its engines were alive.
    */
-  boolean isRecent() {
+  boolean hasRecentProgress() {
     return now() - lastProgress < STALL_TIMEOUT.toNanos();
   }
 
@@ -91,7 +91,7 @@
 
   void headReceived() {
     awaitsHead = false;
-    shortPauseBefore = false;
+    previousPauseShort = false;
     lastProgress = now();
   }
 
@@ -106,15 +106,15 @@
     // The head and the first event arrive together, and so do delayed events. A single short pause
     // therefore does not prove that an engine is fast.
     boolean shortPause = now - lastProgress < longPauseNanos;
-    boolean fast = shortPause && shortPauseBefore;
-    shortPauseBefore = shortPause;
+    boolean fast = shortPause && previousPauseShort;
+    previousPauseShort = shortPause;
     lastProgress = now;
     if (selector.path().isEmpty()) {
       return;
     }
     for (PathPart part : selector.path().get().parts()) {
-      boolean fastLately = now - part.engine().lastFastProgress() < RECENT_PROGRESS.toNanos();
-      if (!shortPause && !fastLately) {
+      boolean recentlyFast = now - part.engine().lastFastProgress() < RECENT_PROGRESS.toNanos();
+      if (!shortPause && !recentlyFast) {
         context.health().checkPace(part.engine());
       }
       part.engine().noteProgress(now, fast);
@@ -130,9 +130,9 @@
     if (!selector.runsOnEngines() || !selector.isSelected()) {
       return;
     }
-    long wait = stallLimit().toNanos() - (now() - lastProgress);
-    long atLeast = STALL_TIMEOUT.toNanos() / 2;
-    checkAfter(Math.max(wait, atLeast));
+    long wait = stallTimeout().toNanos() - (now() - lastProgress);
+    long minWait = STALL_TIMEOUT.toNanos() / 2;
+    checkAfter(Math.max(wait, minWait));
   }
 
   private void checkAfter(long nanos) {
@@ -140,7 +140,7 @@
     timer = context.clock().schedule(this::check, nanos, NANOSECONDS);
   }
 
-  private Duration stallLimit() {
+  private Duration stallTimeout() {
     return awaitsHead ? FIRST_EVENT_STALL_TIMEOUT : STALL_TIMEOUT;
   }
 
@@ -150,7 +150,7 @@
     if (selector.path().isEmpty()) {
       return;
     }
-    boolean stalled = now() - lastProgress >= stallLimit().toNanos();
+    boolean stalled = now() - lastProgress >= stallTimeout().toNanos();
     if (stalled && OwnDelay.excuses(delay, ignoredStalls)) {
       ignoredStalls++;
       context.counters().count(Metric.UNCOUNTED_SILENCES, "look");
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
@@ -49,12 +49,12 @@
   }
 
   /** Notes that the request was sent, or continues over another path. */
-  void started() {
+  void noteSent() {
     start = Optional.empty();
   }
 
   /** Notes the loss of an endpoint to which the request was sent or which was on its path. */
-  void lost(TrackedEndpoint endpoint, Duration sinceSent, Optional<Duration> sinceFirstPart) {
+  void noteLost(TrackedEndpoint endpoint, Duration sinceSent, Optional<Duration> sinceFirstPart) {
     ForwardLog.lostEndpoint(request, content(), endpoint, sinceSent, sinceFirstPart);
     if (start.isEmpty()) {
       start = Optional.of(RequestStart.of(content()));
@@ -63,7 +63,7 @@
   }
 
   /** Notes that an endpoint completed the request. */
-  void answered() {
+  void noteCompleted() {
     if (!context.quarantine().isEmpty()) {
       context.quarantine().noteAnswered(content());
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/package-info.java
@@ -3,7 +3,7 @@
  * endpoint or engine path, retries, resumption of interrupted streams, and deadlines.
  *
  * <p>{@code Forwarder} is called by the entry server for each request. Ports: {@code
- * EndpointTransport} towards endpoints, {@code CallerResponse} towards the caller. Confined to the
- * node's event loop.
+ * EndpointTransport} for endpoints, {@code CallerResponse} for callers. Confined to the node's
+ * event loop.
  */
 package org.vaneworks.coordination.forwarding;
