--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/SearchElsewhereTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FailoverTest.java
@@ -15,16 +15,16 @@
 import org.vaneworks.coordination.forwarding.ForwardingLimits;
 import org.vaneworks.tests.forwarding.ForwardingFixture.SentAttempt;
 
-/** Checks how a request at a silent engine seeks another place, and when it stops to. */
-final class SearchElsewhereTest {
+/** Checks when a request at a silent engine fails over, and when a failover stops. */
+final class FailoverTest {
   private final ForwardingFixture node = new ForwardingFixture();
 
-  private void full(FleetEndpoint other) {
+  private void fillCapacity(FleetEndpoint other) {
     node.fleet.at(ForwardingFixture.MODEL, other.address()).orElseThrow().peersLoad(100, 1e9, 1);
   }
 
-  private void budget(double reserve) {
-    // RESERVE_IN_USE is 0.6.
+  private void setRetryBudget(double reserve) {
+    // ResendBudget uses a fraction of 0.6 of the reserve.
     node.forwarder.updateLimits(
         new ForwardingLimits(Duration.ofMillis(4750), 0, reserve / 0.6 + 0.01));
   }
@@ -36,22 +36,22 @@
         .avoidUntil(node.now() + Duration.ofSeconds(20).toNanos());
   }
 
-  private void otherEnginesAreFull() {
-    full(node.engine(2, 0, 40));
-    full(node.engine(3, 40, 80));
+  private void registerFullEngines() {
+    fillCapacity(node.engine(2, 0, 40));
+    fillCapacity(node.engine(3, 40, 80));
   }
 
-  /** Lets time pass without an answer of an engine, until the node suspects it. */
-  private void fallsSilent(FleetEndpoint engine) {
+  /** Lets an engine stop responding until the node suspects it. */
+  private void silence(FleetEndpoint engine) {
     node.control.dead.add(engine.address());
     node.advance(400);
     assertTrue(suspected(engine));
   }
 
-  /** Asks for a stream and returns the time until it is sent, in milliseconds. */
-  private int waitOfANewRequest() {
+  /** Requests a stream and returns the time until it is sent, in milliseconds. */
+  private int waitMillisOfNewRequest() {
     int before = node.sent.size();
-    node.ask("/stream/new");
+    node.request("/stream/new");
     int waited = 0;
     while (node.sent.size() == before && waited < 3000) {
       node.advance(20);
@@ -64,20 +64,20 @@
     return node.fleet.at(ForwardingFixture.MODEL, engine.address()).orElseThrow().suspected();
   }
 
-  private SentAttempt streaming(String path) {
-    node.ask(path);
-    SentAttempt sent = node.last();
+  private SentAttempt startStream(String path) {
+    node.request(path);
+    SentAttempt sent = node.lastAttempt();
     sent.head(200);
     sent.event(1);
     return sent;
   }
 
-  // Guards against a repeat spent on the very engine that the request was running at.
+  // Guards against spending retry budget on the engine that already runs the request.
   @Test
-  void streamIsNotTakenFromAnEngineToBeBegunAtTheSameOne() {
+  void streamDoesNotFailOverToSameEngine() {
     FleetEndpoint engine = node.engine(1, 0, 80);
-    SentAttempt running = streaming("/stream/x");
-    fallsSilent(engine);
+    SentAttempt running = startStream("/stream/x");
+    silence(engine);
     node.control.dead.clear();
     node.advance(500);
     assertFalse(suspected(engine));
@@ -85,13 +85,13 @@
     assertFalse(running.cancelled, "cancelled");
   }
 
-  // Guards against the same beside other engines, which are full.
+  // Guards against the same fault while all other engines are full.
   @Test
-  void streamIsNotTakenFromAnEngineToBeBegunAtTheSameOneWhileOthersAreFull() {
+  void streamDoesNotFailOverToSameEngineWhileOthersAreFull() {
     FleetEndpoint engine = node.engine(1, 0, 80);
-    SentAttempt running = streaming("/stream/x");
-    otherEnginesAreFull();
-    fallsSilent(engine);
+    SentAttempt running = startStream("/stream/x");
+    registerFullEngines();
+    silence(engine);
     node.control.dead.clear();
     node.advance(500);
     assertFalse(suspected(engine));
@@ -99,34 +99,34 @@
     assertFalse(running.cancelled, "cancelled");
   }
 
-  // Guards against a refusal of a request whose engine answers again while it waits for room.
+  // Guards against refusing a request whose engine recovers while it waits for capacity elsewhere.
   @Test
-  void requestIsNotRefusedWhoseEngineAnsweredWhileItWaitedForAnother() {
+  void requestIsNotRefusedWhenItsEngineRecoversDuringFailover() {
     FleetEndpoint engine = node.engine(1, 0, 80);
-    RecordedResponse got = node.ask("/stream/x");
-    SentAttempt running = node.last();
-    otherEnginesAreFull();
+    RecordedResponse response = node.request("/stream/x");
+    SentAttempt running = node.lastAttempt();
+    registerFullEngines();
     node.control.dead.add(engine.address());
     node.advance(500);
     assertTrue(suspected(engine));
     assertFalse(running.cancelled, "cancelled early");
     node.control.dead.clear();
-    // The engine is sound again, but takes nothing new for now, so the line can't send it there.
+    // The engine has recovered but is avoided, so the queue can't send the request there.
     avoid(engine);
     node.advance(1500);
     assertFalse(suspected(engine));
     assertFalse(running.cancelled, "cancelled");
-    assertEquals(Optional.empty(), got.refusal);
+    assertEquals(Optional.empty(), response.refusal);
   }
 
-  // Guards against a second loss: a request that must not run twice is broken off after it arrived.
+  // Guards against aborting a non-idempotent request that arrived after its failover started.
   @Test
-  void requestThatMustNotRunTwiceStaysOnceItHasArrived() {
+  void nonIdempotentRequestStaysOnceItHasArrived() {
     FleetEndpoint engine = node.engine(1, 0, 80);
-    RecordedResponse got = node.ask("/once/x");
-    SentAttempt running = node.last();
+    RecordedResponse response = node.request("/once/x");
+    SentAttempt running = node.lastAttempt();
     running.arrived = false;
-    otherEnginesAreFull();
+    registerFullEngines();
     node.control.dead.add(engine.address());
     node.advance(500);
     assertTrue(suspected(engine));
@@ -134,101 +134,103 @@
     running.arrived = true;
     node.advance(1500);
     assertFalse(running.cancelled, "cancelled");
-    assertEquals(Optional.empty(), got.refusal);
+    assertEquals(Optional.empty(), response.refusal);
   }
 
-  // It had arrived before: it is never broken off for silence.
+  // A non-idempotent request that had arrived before is never aborted because of silence.
   @Test
-  void requestThatMustNotRunTwiceStaysIfItHadArrivedBefore() {
+  void nonIdempotentRequestStaysIfItArrivedBeforeSilence() {
     FleetEndpoint engine = node.engine(1, 0, 80);
-    RecordedResponse got = node.ask("/once/x");
-    SentAttempt running = node.last();
-    otherEnginesAreFull();
+    RecordedResponse response = node.request("/once/x");
+    SentAttempt running = node.lastAttempt();
+    registerFullEngines();
     node.control.dead.add(engine.address());
     node.advance(2000);
     assertFalse(running.cancelled, "cancelled");
-    assertEquals(Optional.empty(), got.refusal);
+    assertEquals(Optional.empty(), response.refusal);
   }
 
-  // Guards against a waiting line held up by streams that may not be sent again.
+  // Guards against a queue that is blocked by streams without retry budget.
   @Test
-  void streamsWithoutBudgetKeepNobodyWaiting() {
+  void streamsWithoutRetryBudgetDoNotBlockQueue() {
     FleetEndpoint engine = node.engine(1, 0, 80);
     List<SentAttempt> streams = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      streams.add(streaming("/stream/" + i));
+      streams.add(startStream("/stream/" + i));
     }
-    otherEnginesAreFull();
-    budget(1);
-    fallsSilent(engine);
-    assertEquals(4, node.sent.size(), "sends before there is room");
+    registerFullEngines();
+    setRetryBudget(1);
+    silence(engine);
+    assertEquals(4, node.sent.size(), "sends before there is capacity");
     node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
     node.advance(40);
-    assertEquals(5, node.sent.size(), "one stream moved");
-    assertTrue(waitOfANewRequest() <= 100, "a new request waited while there was room");
+    assertEquals(5, node.sent.size(), "one stream failed over");
+    assertTrue(waitMillisOfNewRequest() <= 100, "a new request waited while there was capacity");
   }
 
-  // Guards against a stream left to itself: a late event ends the search, its engine stays lost.
+  // Guards against a stream that never fails over: a late event stops the failover, but the later
+  // engine remains lost.
   @Test
-  void streamWhoseLaterEngineIsLostIsNotForgottenAfterALateEvent() {
-    assertSentAgainOnceThereIsBudget(true);
+  void streamWithLostLaterEngineFailsOverAfterLateEvent() {
+    assertSentAgainOnceBudgetAllows(true);
   }
 
-  // Without the late event it is sent again as well.
+  // Control case without the late event.
   @Test
-  void streamWhoseLaterEngineIsLostIsSentAgainWithoutALateEvent() {
-    assertSentAgainOnceThereIsBudget(false);
+  void streamWithLostLaterEngineFailsOverWithoutLateEvent() {
+    assertSentAgainOnceBudgetAllows(false);
   }
 
-  private void assertSentAgainOnceThereIsBudget(boolean lateEvent) {
+  private void assertSentAgainOnceBudgetAllows(boolean lateEvent) {
     node.engine(5, 0, 40);
     FleetEndpoint later = node.engine(6, 40, 80);
-    RecordedResponse got = node.ask("/stream/x");
-    SentAttempt running = node.last();
+    RecordedResponse response = node.request("/stream/x");
+    SentAttempt running = node.lastAttempt();
     running.head(200);
     running.event(1);
     node.engine(7, 40, 80);
     node.control.answer = new RepathOutcome(RepathOutcome.Kind.UNKNOWN_REQUEST, Optional.empty());
     node.control.dead.add(later.address());
-    budget(0);
+    setRetryBudget(0);
     node.advance(400);
     assertTrue(suspected(later));
-    assertEquals(1, node.control.repaths.size(), "orders for another path");
+    assertEquals(1, node.control.repaths.size(), "path changes");
     if (lateEvent) {
       running.event(2);
     }
-    budget(10);
+    setRetryBudget(10);
     node.advance(15_000);
-    assertFalse(got.cut, "cut");
+    assertFalse(response.cut, "cut");
     assertEquals(2, node.sent.size(), "sends in 15 s");
   }
 
-  // Guards against a stream left to itself once its silent engine is known to have ended.
+  // Guards against a stream that never continues once its silent engine is known to have ended.
   @Test
-  void streamThatStaysTakesAnotherPathOnceItsLaterEngineHasEnded() {
+  void stayingStreamIsReroutedOnceLaterEngineHasEnded() {
     node.engine(5, 0, 40);
     FleetEndpoint later = node.engine(6, 40, 80);
-    RecordedResponse got = node.ask("/stream/x");
-    SentAttempt running = node.last();
+    RecordedResponse response = node.request("/stream/x");
+    SentAttempt running = node.lastAttempt();
     running.head(200);
     running.event(1);
-    budget(0);
-    // No other engine holds the layers: five orders for another path find none.
+    setRetryBudget(0);
+    // No other engine holds the layers, so all five path changes fail.
     node.control.dead.add(later.address());
     node.advance(1500);
     assertTrue(suspected(later));
     assertFalse(running.cancelled);
     node.engine(7, 40, 80);
-    node.startsAgain(later);
+    node.restart(later);
     node.advance(3000);
     boolean helped = !node.control.repaths.isEmpty() || node.sent.size() > 1;
-    assertTrue(helped || got.cut, "3 s after the end: no order, no send, no end of the answer");
+    assertTrue(
+        helped || response.cut, "3 s after the end: no path change, no send, no end of the response");
   }
 
-  // Guards against requests held back for the end of an engine that had answered them whole.
+  // Guards against quarantining requests because of crashes of engines that had completed them.
   @Test
-  void engineThatAnsweredWholeIsNotPutDownToTheRequest() {
-    budget(0);
+  void completedRequestsAreNotBlamedForLaterEngineCrashes() {
+    setRetryBudget(0);
     List<FleetEndpoint> engines = new ArrayList<>();
     List<SentAttempt> streams = new ArrayList<>();
     for (int i = 1; i <= 3; i++) {
@@ -236,7 +238,7 @@
     }
     // The same content at each of three engines.
     while (streams.stream().map(s -> s.attempt.endpoint().id()).distinct().count() < 3) {
-      streams.add(streaming("/stream/x"));
+      streams.add(startStream("/stream/x"));
     }
     engines.forEach(engine -> node.control.dead.add(engine.address()));
     node.advance(600);
@@ -248,74 +250,73 @@
       stream.listener.end();
     }
     node.advance(3000);
-    engines.forEach(node::startsAgain);
+    engines.forEach(node::restart);
     node.engine(9, 0, 80);
     int before = node.sent.size();
-    RecordedResponse got = node.ask("/stream/x");
-    assertEquals(Optional.empty(), got.refusal);
+    RecordedResponse response = node.request("/stream/x");
+    assertEquals(Optional.empty(), response.refusal);
     assertEquals(before + 1, node.sent.size());
   }
 
-  // Guards against a stream left to itself when only one of its two silent engines recovers.
+  // Guards against a stream that never fails over when only one of its two silent engines recovers.
   @Test
-  void streamIsNotForgottenWhenItsFirstEngineIsClearedAndItsLaterOneIsLost() {
+  void streamFailsOverForLostLaterEngineAfterFirstEngineRecovers() {
     FleetEndpoint first = node.engine(5, 0, 40);
     FleetEndpoint later = node.engine(6, 40, 80);
-    node.ask("/stream/x");
-    SentAttempt running = node.last();
+    node.request("/stream/x");
+    SentAttempt running = node.lastAttempt();
     running.head(200);
     running.event(1);
     node.control.dead.add(first.address());
     node.control.dead.add(later.address());
     node.control.answer = new RepathOutcome(RepathOutcome.Kind.UNKNOWN_REQUEST, Optional.empty());
-    budget(0);
+    setRetryBudget(0);
     node.advance(1500);
     node.control.dead.remove(first.address());
     node.advance(4000);
     assertFalse(suspected(first));
     assertTrue(suspected(later));
     assertFalse(running.cancelled);
-    budget(10);
+    setRetryBudget(10);
     node.engine(7, 0, 80);
     node.advance(3000);
     assertEquals(2, node.sent.size(), "sends in 3 s");
   }
 
-  // Guards against a stream that outlives its attempt: it is held back, and its first engine breaks
-  // off.
+  // Guards against a quarantined stream that does not end when its first engine disconnects.
   @Test
-  void streamThatIsHeldBackEndsOnceItsFirstEngineBreaksOff() {
+  void quarantinedStreamEndsWhenFirstEngineDisconnects() {
     node.engine(5, 0, 40);
     FleetEndpoint later = node.engine(6, 40, 80);
     for (int run = 1; run <= 2; run++) {
-      RecordedResponse former = node.ask("/stream/x");
-      node.last().head(200);
-      node.startsAgain(later);
-      former.flow.disconnected();
+      RecordedResponse earlier = node.request("/stream/x");
+      node.lastAttempt().head(200);
+      node.restart(later);
+      earlier.listener.disconnected();
       later = node.engine(6, 40, 80, Incarnation.startedAt(10_000L * run));
     }
-    RecordedResponse got = node.ask("/stream/x");
-    SentAttempt running = node.last();
+    RecordedResponse response = node.request("/stream/x");
+    SentAttempt running = node.lastAttempt();
     running.head(200);
     running.event(1);
-    node.startsAgain(later);
+    node.restart(later);
     node.engine(6, 40, 80, Incarnation.startedAt(90_000));
-    RecordedResponse next = node.ask("/stream/x");
+    RecordedResponse next = node.request("/stream/x");
     assertTrue(next.refusal.toString().contains("quarantined"), next.refusal.toString());
-    // An unanswered order may have changed its path: only the first engine knows.
+    // An unanswered path change may have taken effect; only the first engine knows.
     node.advance(3000);
     assertFalse(running.cancelled, "cancelled");
     running.listener.failed(false, new IllegalStateException("stalled"));
-    assertTrue(got.cut, "cut");
+    assertTrue(response.cut, "cut");
   }
 
-  // Guards against a move away from an engine that answers again.
+  // Guards against failing over from an engine that has recovered.
   @Test
-  void streamIsNotMovedFromAnEngineThatIsNoLongerSuspected() {
+  void streamStaysOnEngineThatRecovered() {
     FleetEndpoint engine = node.engine(1, 0, 80);
-    SentAttempt running = streaming("/stream/x");
-    otherEnginesAreFull();
-    fallsSilent(engine);
+    SentAttempt running = startStream("/stream/x");
+    registerFullEngines();
+    silence(engine);
     node.control.dead.clear();
     avoid(engine);
     node.advance(500);
@@ -326,41 +327,41 @@
     assertFalse(running.cancelled, "cancelled");
   }
 
-  // Guards against a new request kept waiting by streams whose repeats others have spent.
+  // Guards against a new request that waits behind streams whose retry budget others have spent.
   @Test
-  void newRequestIsNotKeptWaitingByStreamsWhoseBudgetOthersSpent() {
+  void newRequestIsNotBlockedByStreamsWithoutRetryBudget() {
     FleetEndpoint engine = node.engine(1, 0, 80);
     List<SentAttempt> streams = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      streams.add(streaming("/stream/" + i));
+      streams.add(startStream("/stream/" + i));
     }
-    otherEnginesAreFull();
-    fallsSilent(engine);
+    registerFullEngines();
+    silence(engine);
     assertEquals(3, node.sent.size());
-    // The budget goes to zero, as by other requests' failures.
-    budget(0);
+    // Exhausts the budget, as failures of other requests would.
+    setRetryBudget(0);
     node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
-    assertTrue(waitOfANewRequest() <= 100, "a new request waited while there was room");
+    assertTrue(waitMillisOfNewRequest() <= 100, "a new request waited while there was capacity");
   }
 
-  // The same on a node that has begun many requests lately.
+  // The same on a node with a high recent start rate.
   @Test
-  void streamsWithoutBudgetKeepNobodyWaitingAtABusyNode() {
+  void streamsWithoutRetryBudgetDoNotBlockQueueOfBusyNode() {
     FleetEndpoint engine = node.engine(1, 0, 80);
     for (int i = 0; i < 40; i++) {
-      SentAttempt done = streaming("/stream/done" + i);
+      SentAttempt done = startStream("/stream/done" + i);
       done.listener.end();
     }
     for (int i = 0; i < 4; i++) {
-      streaming("/stream/" + i);
+      startStream("/stream/" + i);
     }
-    otherEnginesAreFull();
-    budget(1);
-    fallsSilent(engine);
-    assertEquals(44, node.sent.size(), "sends before there is room");
+    registerFullEngines();
+    setRetryBudget(1);
+    silence(engine);
+    assertEquals(44, node.sent.size(), "sends before there is capacity");
     node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
     node.advance(40);
-    assertEquals(45, node.sent.size(), "one stream moved");
-    assertTrue(waitOfANewRequest() <= 100, "a new request waited while there was room");
+    assertEquals(45, node.sent.size(), "one stream failed over");
+    assertTrue(waitMillisOfNewRequest() <= 100, "a new request waited while there was capacity");
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FakeResponseHead.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FakeResponseHead.java
@@ -7,7 +7,7 @@
 import org.vaneworks.state.StatedBackoff;
 import org.vaneworks.state.StatedLimit;
 
-/** The head of an endpoint's answer, as a test wants it. */
+/** A response head with values set by the test. */
 public record FakeResponseHead(
     int status,
     boolean notRun,
@@ -15,27 +15,27 @@
     Optional<HostPort> obstacle,
     EndpointStatement statement)
     implements ResponseHead {
-  /** Returns the head of an answer to the request that was sent. */
+  /** Returns a head with the given status that matches the request. */
   public static FakeResponseHead of(int status) {
     return of(status, EndpointStatement.NONE);
   }
 
-  /** The same of an endpoint that says how many requests a second it takes. */
+  /** Returns such a head with a stated rate limit. */
   public static FakeResponseHead of(int status, StatedLimit limit) {
     return of(status, EndpointStatement.NONE.withLimit(limit));
   }
 
-  /** The same of an endpoint that says something of itself. */
+  /** Returns such a head with the given statement. */
   public static FakeResponseHead of(int status, EndpointStatement statement) {
     return new FakeResponseHead(status, false, true, Optional.empty(), statement);
   }
 
-  /** Returns the head of an answer that turns a request away, and may ask for no more. */
+  /** Returns the head of a rejection, with a stated backoff. */
   public static FakeResponseHead rejected(StatedBackoff backoff) {
     return rejected(EndpointStatement.NONE.withBackoff(backoff));
   }
 
-  /** The same of an endpoint that says more of itself. */
+  /** Returns the head of a rejection, with the given statement. */
   public static FakeResponseHead rejected(EndpointStatement statement) {
     return new FakeResponseHead(503, true, true, Optional.empty(), statement);
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
@@ -17,357 +17,357 @@
 import org.vaneworks.state.Verdict;
 import org.vaneworks.tests.forwarding.ForwardingFixture.SentAttempt;
 
-/** Checks admission, what is sent again, and how a broken stream goes on. */
+/** Tests admission, retries and the resumption of interrupted streams. */
 final class ForwarderTest {
   private final ForwardingFixture node = new ForwardingFixture();
 
-  private static Reason reason(RecordedResponse got) {
-    return got.refusal.get().reason();
+  private static Reason reason(RecordedResponse response) {
+    return response.refusal.get().reason();
   }
 
   @Test
   void unknownPathIsNotFound() {
-    assertEquals(Reason.UNKNOWN_PATH, reason(node.ask("/none/x")));
+    assertEquals(Reason.UNKNOWN_PATH, reason(node.request("/none/x")));
   }
 
   @Test
   void missingKeyIsRefused() {
-    assertEquals(Reason.UNKNOWN_KEY, reason(node.ask("/safe/x", Optional.empty())));
+    assertEquals(Reason.UNKNOWN_KEY, reason(node.request("/safe/x", Optional.empty())));
   }
 
   @Test
-  void staleConfigurationServesNobody() {
+  void staleConfigurationRefusesRequests() {
     node.replica(1);
     node.advance(4800);
-    RecordedResponse got = node.ask("/safe/x");
-    assertEquals(Reason.CONFIGURATION_STALE, reason(got));
-    assertTrue(got.refusal.get().retryAfter().isPresent());
+    RecordedResponse response = node.request("/safe/x");
+    assertEquals(Reason.CONFIGURATION_STALE, reason(response));
+    assertTrue(response.refusal.get().retryAfter().isPresent());
   }
 
   @Test
-  void limitsThatChangedHoldForTheNextRequest() {
+  void changedLimitsApplyToNextRequest() {
     node.replica(1);
     node.forwarder.updateLimits(new ForwardingLimits(Duration.ofSeconds(1), 0.2, 100));
     node.advance(1500);
-    assertEquals(Reason.CONFIGURATION_STALE, reason(node.ask("/safe/x")));
+    assertEquals(Reason.CONFIGURATION_STALE, reason(node.request("/safe/x")));
   }
 
   @Test
-  void requestBeforeTheFirstConfigurationWaitsForIt() {
+  void requestWaitsForFirstConfiguration() {
     node.replica(1);
     node.configuration = Optional.empty();
-    RecordedResponse got = node.ask("/safe/x");
+    RecordedResponse response = node.request("/safe/x");
     node.configuration = Optional.of(ForwardingFixture.configuration());
     node.advance(50);
     assertEquals(1, node.sent.size());
-    assertFalse(got.refusal.isPresent());
+    assertFalse(response.refusal.isPresent());
   }
 
   @Test
-  void requestIsRefusedIfNoConfigurationComes() {
+  void requestIsRefusedWithoutConfiguration() {
     node.configuration = Optional.empty();
-    RecordedResponse got = node.ask("/safe/x");
+    RecordedResponse response = node.request("/safe/x");
     node.advance(500);
-    assertEquals(Reason.NOT_READY, reason(got));
+    assertEquals(Reason.NOT_READY, reason(response));
   }
 
   @Test
-  void answerIsPassedOnWhole() {
+  void responseIsForwardedCompletely() {
     node.replica(1);
-    RecordedResponse got = node.ask("/safe/x");
-    node.last().head(200);
-    node.last().text("body");
-    node.last().listener.end();
-    assertEquals("body", got.body);
-    assertTrue(got.whole);
+    RecordedResponse response = node.request("/safe/x");
+    node.lastAttempt().head(200);
+    node.lastAttempt().text("body");
+    node.lastAttempt().listener.end();
+    assertEquals("body", response.body);
+    assertTrue(response.whole);
   }
 
   @Test
-  void workspaceComesFromTheKey() {
+  void workspaceIsDerivedFromKey() {
     node.replica(1);
-    node.ask("/safe/x");
-    assertEquals(Optional.of("ward"), node.last().attempt.workspace());
+    node.request("/safe/x");
+    assertEquals(Optional.of("ward"), node.lastAttempt().attempt.workspace());
   }
 
   @Test
-  void safeRequestGoesToAnotherReplicaAfterAnError() {
+  void safeRequestIsRetriedOnAnotherReplicaAfterServerError() {
     node.replica(1);
     node.replica(2);
-    RecordedResponse got = node.ask("/safe/x");
-    node.last().head(500);
+    RecordedResponse response = node.request("/safe/x");
+    node.lastAttempt().head(500);
     assertEquals(2, node.sent.size());
-    assertFalse(node.sent.get(0).attempt.endpoint().equals(node.last().attempt.endpoint()));
-    node.last().head(200);
-    assertEquals(Optional.of(200), got.status);
+    assertFalse(node.sent.get(0).attempt.endpoint().equals(node.lastAttempt().attempt.endpoint()));
+    node.lastAttempt().head(200);
+    assertEquals(Optional.of(200), response.status);
   }
 
   @Test
-  void secondErrorOfASafeRequestIsPassedOn() {
+  void secondServerErrorOfSafeRequestIsForwarded() {
     node.replica(1);
     node.replica(2);
-    RecordedResponse got = node.ask("/safe/x");
-    node.last().head(500);
-    node.last().head(500);
-    assertEquals(Optional.of(500), got.status);
+    RecordedResponse response = node.request("/safe/x");
+    node.lastAttempt().head(500);
+    node.lastAttempt().head(500);
+    assertEquals(Optional.of(500), response.status);
   }
 
   @Test
-  void unsafeRequestIsNeverSentAgainAfterALostConnection() {
+  void unsafeRequestIsNotRetriedAfterLostConnection() {
     node.replica(1);
     node.replica(2);
-    RecordedResponse got = node.ask("/unsafe/x");
-    node.last().listener.failed(false, new IllegalStateException("reset"));
+    RecordedResponse response = node.request("/unsafe/x");
+    node.lastAttempt().listener.failed(false, new IllegalStateException("reset"));
     assertEquals(1, node.sent.size());
-    assertEquals(Verdict.MAY_HAVE_RUN, got.refusal.get().verdict());
-    assertEquals(502, reason(got).status());
+    assertEquals(Verdict.MAY_HAVE_RUN, response.refusal.get().verdict());
+    assertEquals(502, reason(response).status());
   }
 
   @Test
-  void unsafeRequestThatWasNotRunGoesToAnotherReplica() {
+  void unsafeRequestThatWasNotRunIsRetriedOnAnotherReplica() {
     node.replica(1);
     node.replica(2);
-    RecordedResponse got = node.ask("/unsafe/x");
-    node.last().notRun(503, Optional.empty());
+    RecordedResponse response = node.request("/unsafe/x");
+    node.lastAttempt().notRun(503, Optional.empty());
     assertEquals(2, node.sent.size());
-    node.last().head(200);
-    assertEquals(Optional.of(200), got.status);
+    node.lastAttempt().head(200);
+    assertEquals(Optional.of(200), response.status);
   }
 
   @Test
-  void answerToAnotherRequestNeverReachesTheCaller() {
+  void responseToAnotherRequestIsNotForwarded() {
     node.replica(1);
-    RecordedResponse got = node.ask("/unsafe/x");
-    node.last()
+    RecordedResponse response = node.request("/unsafe/x");
+    node.lastAttempt()
         .listener
         .head(new FakeResponseHead(200, false, false, Optional.empty(), EndpointStatement.NONE));
-    assertTrue(node.last().cancelled);
-    assertTrue(got.status.isEmpty());
-    assertEquals(Verdict.MAY_HAVE_RUN, got.refusal.get().verdict());
+    assertTrue(node.lastAttempt().cancelled);
+    assertTrue(response.status.isEmpty());
+    assertEquals(Verdict.MAY_HAVE_RUN, response.refusal.get().verdict());
   }
 
   @Test
-  void timeLimitOfTheRouteEndsTheRequest() {
+  void routeTimeoutEndsRequest() {
     node.replica(1);
-    RecordedResponse got = node.ask("/unsafe/x");
+    RecordedResponse response = node.request("/unsafe/x");
     node.advance(800);
-    assertEquals(Reason.DEADLINE, reason(got));
-    assertTrue(node.last().cancelled);
+    assertEquals(Reason.DEADLINE, reason(response));
+    assertTrue(node.lastAttempt().cancelled);
   }
 
   @Test
-  void callerThatLeftIsCancelledAtTheEndpoint() {
+  void disconnectedCallerCancelsAttempt() {
     node.replica(1);
-    RecordedResponse got = node.ask("/unsafe/x");
-    got.flow.disconnected();
-    assertTrue(node.last().cancelled);
+    RecordedResponse response = node.request("/unsafe/x");
+    response.listener.disconnected();
+    assertTrue(node.lastAttempt().cancelled);
     assertEquals(0, node.forwarder.inFlight());
   }
 
   @Test
-  void slowReaderPausesTheEndpoint() {
+  void slowCallerPausesAttempt() {
     node.replica(1);
-    RecordedResponse got = node.ask("/safe/x");
-    got.keepsUp = false;
-    node.last().head(200);
-    node.last().text("part");
-    assertTrue(node.last().paused);
-    got.flow.drained();
-    assertFalse(node.last().paused);
+    RecordedResponse response = node.request("/safe/x");
+    response.keepsUp = false;
+    node.lastAttempt().head(200);
+    node.lastAttempt().text("part");
+    assertTrue(node.lastAttempt().paused);
+    response.listener.drained();
+    assertFalse(node.lastAttempt().paused);
   }
 
   @Test
-  void requestThatNoEndpointCanRunIsRefusedAtOnceAndNotRun() {
-    RecordedResponse got = node.ask("/stream/x");
-    assertEquals(Reason.NO_ENDPOINT, reason(got));
-    assertEquals(Verdict.NOT_RUN, got.refusal.get().verdict());
-    assertTrue(got.refusal.get().retryAfter().isPresent());
+  void requestWithoutEndpointIsRefusedImmediatelyAsNotRun() {
+    RecordedResponse response = node.request("/stream/x");
+    assertEquals(Reason.NO_ENDPOINT, reason(response));
+    assertEquals(Verdict.NOT_RUN, response.refusal.get().verdict());
+    assertTrue(response.refusal.get().retryAfter().isPresent());
   }
 
   @Test
-  void requestForAFullFleetWaitsAndIsServedWhenRoomComesFree() {
-    fullEngines();
-    RecordedResponse got = node.ask("/stream/x");
+  void requestWaitsForCapacity() {
+    registerFullEngines();
+    RecordedResponse response = node.request("/stream/x");
     node.advance(300);
     assertTrue(node.sent.isEmpty());
-    assertFalse(got.refusal.isPresent());
-    emptyEngines();
+    assertFalse(response.refusal.isPresent());
+    freeEngines();
     node.advance(50);
     assertEquals(1, node.sent.size());
   }
 
   @Test
-  void requestThatFindsNoRoomIsRefusedBeforeItsCallerLeaves() {
-    fullEngines();
-    RecordedResponse got = node.ask("/stream/x");
+  void requestWithoutCapacityIsRefusedBeforeCallerGivesUp() {
+    registerFullEngines();
+    RecordedResponse response = node.request("/stream/x");
     node.advance(2000);
-    assertEquals(Reason.NO_ENDPOINT, reason(got));
-    assertEquals(Verdict.NOT_RUN, got.refusal.get().verdict());
+    assertEquals(Reason.NO_ENDPOINT, reason(response));
+    assertEquals(Verdict.NOT_RUN, response.refusal.get().verdict());
   }
 
   @Test
-  void requestBehindMoreThanCanBeStartedInTimeIsRefusedAtOnce() {
-    fullEngines();
-    RecordedResponse last = null;
+  void requestBehindLongQueueIsRefusedImmediately() {
+    registerFullEngines();
+    RecordedResponse response = null;
     for (int i = 0; i < 10; i++) {
-      last = node.ask("/stream/x");
+      response = node.request("/stream/x");
     }
-    assertEquals(Reason.NO_ENDPOINT, reason(last));
+    assertEquals(Reason.NO_ENDPOINT, reason(response));
   }
 
   @Test
-  void theLongerAShortageLastsTheLaterCallersAreAskedToComeBack() {
-    fullEngines();
-    node.ask("/stream/x");
+  void retryAfterGrowsWithShortage() {
+    registerFullEngines();
+    node.request("/stream/x");
     node.advance(1900);
     for (int i = 0; i < 5; i++) {
-      node.ask("/stream/x");
+      node.request("/stream/x");
     }
-    RecordedResponse got = node.ask("/stream/x");
-    Duration comeBack = got.refusal.get().retryAfter().get();
-    assertTrue(comeBack.toMillis() >= 1400, "come back after " + comeBack);
+    RecordedResponse response = node.request("/stream/x");
+    Duration retryAfter = response.refusal.get().retryAfter().get();
+    assertTrue(retryAfter.toMillis() >= 1400, "retry after " + retryAfter);
   }
 
   @Test
-  void freshRequestGoesBeforeOneThatIsLateAnyway() {
-    fullEngines();
-    node.ask("/stream/late");
+  void requestThatCanBeOnTimeStartsBeforeLateOne() {
+    registerFullEngines();
+    node.request("/stream/late");
     node.advance(700);
-    node.ask("/stream/fresh");
-    emptyEngines();
+    node.request("/stream/fresh");
+    freeEngines();
     node.advance(30);
     assertEquals("/stream/fresh", node.sent.get(0).attempt.request().path());
   }
 
   @Test
-  void callerThatLeftWaitsNoLonger() {
-    fullEngines();
-    RecordedResponse got = node.ask("/stream/x");
-    got.flow.disconnected();
-    emptyEngines();
+  void disconnectedCallerLeavesQueue() {
+    registerFullEngines();
+    RecordedResponse response = node.request("/stream/x");
+    response.listener.disconnected();
+    freeEngines();
     node.advance(100);
     assertTrue(node.sent.isEmpty());
   }
 
-  /** Engines that hold all layers; other nodes' requests take all their memory. */
-  private void fullEngines() {
+  /** Registers engines that hold all layers and whose memory is used up by other nodes. */
+  private void registerFullEngines() {
     for (int i = 0; i < 3; i++) {
       FleetEndpoint engine = node.engine(i + 1, i * 27, Math.min(80, (i + 1) * 27));
       node.fleet.at(ForwardingFixture.MODEL, engine.address()).get().peersLoad(100, 1e9, 1);
     }
   }
 
-  private void emptyEngines() {
+  private void freeEngines() {
     node.fleet.all().forEach(engine -> engine.peersLoad(0, 0, 1));
   }
 
   @Test
-  void streamNamesEveryLayerOnce() {
+  void pathCoversEveryLayerOnce() {
     node.engine(1, 0, 40);
     node.engine(2, 30, 80);
-    node.ask("/stream/x");
-    String path = node.last().attempt.path().get();
+    node.request("/stream/x");
+    String path = node.lastAttempt().attempt.path().get();
     assertTrue(path.startsWith("10.0.0.1:80=0-"), path);
     assertTrue(path.endsWith("-80"), path);
   }
 
   @Test
-  void brokenStreamGoesOnAfterItsLastWholeEvent() {
+  void interruptedStreamResumesAfterLastCompleteEvent() {
     node.engine(1, 0, 80);
     node.engine(2, 0, 80);
-    RecordedResponse got = node.ask("/stream/x");
-    SentAttempt first = node.last();
+    RecordedResponse response = node.request("/stream/x");
+    SentAttempt first = node.lastAttempt();
     first.head(200);
     first.event(1);
     first.event(2);
     first.text("id: 3\nda");
     first.listener.failed(false, new IllegalStateException("reset"));
-    assertEquals(Optional.of("2"), node.last().attempt.resumeAfter());
-    node.last().head(200);
-    node.last().event(3);
-    node.last().listener.end();
-    assertEquals("id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\n", got.body);
-    assertTrue(got.whole);
+    assertEquals(Optional.of("2"), node.lastAttempt().attempt.resumeAfter());
+    node.lastAttempt().head(200);
+    node.lastAttempt().event(3);
+    node.lastAttempt().listener.end();
+    assertEquals("id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\n", response.body);
+    assertTrue(response.whole);
   }
 
   @Test
-  void streamThatRunsOnceIsCutAndDoesNotLookWhole() {
+  void nonResumableStreamIsAborted() {
     node.engine(1, 0, 80);
     node.engine(2, 0, 80);
-    RecordedResponse got = node.ask("/once/x");
-    node.last().head(200);
-    node.last().event(1);
-    node.last().listener.failed(false, new IllegalStateException("reset"));
+    RecordedResponse response = node.request("/once/x");
+    node.lastAttempt().head(200);
+    node.lastAttempt().event(1);
+    node.lastAttempt().listener.failed(false, new IllegalStateException("reset"));
     assertEquals(1, node.sent.size());
-    assertTrue(got.cut);
-    assertFalse(got.whole);
+    assertTrue(response.cut);
+    assertFalse(response.whole);
   }
 
   @Test
-  void stalledStreamGetsAnotherPathAroundTheDeadEngine() {
+  void stalledStreamIsReroutedAroundDeadEngine() {
     node.engine(1, 0, 40);
     FleetEndpoint second = node.engine(2, 40, 80);
     FleetEndpoint third = node.engine(3, 40, 80);
-    RecordedResponse got = node.ask("/stream/x");
-    String before = node.last().attempt.path().get();
+    RecordedResponse response = node.request("/stream/x");
+    String before = node.lastAttempt().attempt.path().get();
     FleetEndpoint used = before.contains("10.0.0.2") ? second : third;
-    node.last().head(200);
-    node.last().event(1);
+    node.lastAttempt().head(200);
+    node.lastAttempt().event(1);
     node.control.dead.add(used.address());
     node.advance(600);
     assertEquals(1, node.control.repaths.size());
     assertFalse(node.control.repaths.get(0).contains(used.address().toString()));
-    assertFalse(got.cut);
+    assertFalse(response.cut);
   }
 
   @Test
-  void streamResumesElsewhereWhenItsFirstEngineDies() {
+  void streamFailsOverWhenFirstEngineDies() {
     FleetEndpoint first = node.engine(1, 0, 80);
-    RecordedResponse got = node.ask("/stream/x");
-    node.last().head(200);
-    node.last().event(1);
+    RecordedResponse response = node.request("/stream/x");
+    node.lastAttempt().head(200);
+    node.lastAttempt().event(1);
     node.engine(2, 0, 80);
     node.control.dead.add(first.address());
     node.advance(600);
-    assertEquals("e2", node.last().attempt.endpoint().id());
-    node.last().head(200);
+    assertEquals("e2", node.lastAttempt().attempt.endpoint().id());
+    node.lastAttempt().head(200);
     assertTrue(node.sent.get(0).cancelled);
-    assertEquals(Optional.of("1"), node.last().attempt.resumeAfter());
-    assertFalse(got.cut);
+    assertEquals(Optional.of("1"), node.lastAttempt().attempt.resumeAfter());
+    assertFalse(response.cut);
   }
 
   @Test
-  void streamInProgressCausesNoProbe() {
+  void streamThatMakesProgressCausesNoProbe() {
     node.engine(1, 0, 80);
-    node.ask("/stream/x");
-    node.last().head(200);
+    node.request("/stream/x");
+    node.lastAttempt().head(200);
     for (int id = 1; id < 40; id++) {
       node.advance(60);
-      node.last().event(id);
+      node.lastAttempt().event(id);
     }
     assertTrue(node.control.reported.isEmpty());
   }
 
   @Test
-  void longPausesAskTheEngineForItsPace() {
+  void longPausesCauseProbeOfPace() {
     node.engine(1, 0, 80);
-    node.ask("/stream/x");
+    node.request("/stream/x");
     node.control.pace = 5;
-    node.last().head(200);
+    node.lastAttempt().head(200);
     for (int id = 1; id < 6; id++) {
       node.advance(180);
-      node.last().event(id);
+      node.lastAttempt().event(id);
     }
     assertEquals(5, node.fleet.of(ForwardingFixture.MODEL).get(0).pace());
   }
 
-  /** The head and the first event come together; that must not pass for a fast engine. */
+  /** The head and the first event arrive together, which must not make an engine look fast. */
   @Test
-  void newStreamsDoNotHideASlowEngine() {
+  void newStreamsDoNotHideSlowEngine() {
     node.engine(1, 0, 80);
     node.control.pace = 12;
     for (int stream = 0; stream < 4; stream++) {
-      node.ask("/stream/x");
-      SentAttempt sent = node.last();
+      node.request("/stream/x");
+      SentAttempt sent = node.lastAttempt();
       node.advance(180);
       sent.head(200);
       sent.event(1);
@@ -378,47 +378,47 @@
     assertEquals(12, node.fleet.of(ForwardingFixture.MODEL).get(0).pace());
   }
 
-  /** Reading a stream again elsewhere has a price, and no run showed that it helps. */
+  /** Moving a stream would process its prompt again, without a proven benefit. */
   @Test
-  void streamsStayOnAnEngineThatBecameSlow() {
+  void streamStaysOnSlowEngine() {
     node.engine(1, 0, 40);
     FleetEndpoint second = node.engine(2, 40, 80);
-    node.ask("/stream/x");
-    node.last().head(200);
-    node.last().event(1);
+    node.request("/stream/x");
+    node.lastAttempt().head(200);
+    node.lastAttempt().event(1);
     node.engine(3, 40, 80);
     node.control.slow.add(second.address());
     for (int id = 2; id < 6; id++) {
       node.advance(180);
-      node.last().event(id);
+      node.lastAttempt().event(id);
     }
     assertTrue(node.control.repaths.isEmpty());
   }
 
   @Test
-  void streamMovesOffALeavingEngine() {
+  void streamMigratesFromLeavingEngine() {
     node.engine(1, 0, 40);
     FleetEndpoint second = node.engine(2, 40, 80);
-    node.ask("/stream/x");
-    node.last().head(200);
-    node.last().event(1);
+    node.request("/stream/x");
+    node.lastAttempt().head(200);
+    node.lastAttempt().event(1);
     node.engine(3, 40, 80);
     node.announceLeaving(second);
     for (int id = 2; id < 10; id++) {
       node.advance(100);
-      node.last().event(id);
+      node.lastAttempt().event(id);
     }
     assertEquals(1, node.control.repaths.size());
     assertTrue(node.control.repaths.get(0).contains("10.0.0.3"));
   }
 
   @Test
-  void obstacleOnTheNewPathIsAvoidedToo() {
+  void obstacleOnNewPathIsAvoided() {
     node.engine(1, 0, 40);
     FleetEndpoint second = node.engine(2, 40, 80);
-    node.ask("/stream/x");
-    node.last().head(200);
-    node.last().event(1);
+    node.request("/stream/x");
+    node.lastAttempt().head(200);
+    node.lastAttempt().event(1);
     FleetEndpoint third = node.engine(3, 40, 80);
     node.engine(4, 40, 80);
     node.control.answer =
@@ -431,136 +431,136 @@
   }
 
   @Test
-  void streamOnALeavingEngineIsNotBrokenOffWhenNoOtherPathIsAccepted() {
+  void streamStaysOnLeavingEngineWhenNoOtherPathIsAccepted() {
     node.engine(1, 0, 40);
     FleetEndpoint second = node.engine(2, 40, 80);
-    RecordedResponse got = node.ask("/stream/x");
-    node.last().head(200);
-    node.last().event(1);
+    RecordedResponse response = node.request("/stream/x");
+    node.lastAttempt().head(200);
+    node.lastAttempt().event(1);
     node.engine(3, 40, 80);
     node.control.answer = new RepathOutcome(RepathOutcome.Kind.OBSTACLE, Optional.empty());
     node.announceLeaving(second);
     for (int id = 2; id < 30; id++) {
       node.advance(100);
-      node.last().event(id);
+      node.lastAttempt().event(id);
     }
     assertEquals(1, node.sent.size());
-    assertFalse(node.last().cancelled);
-    assertFalse(got.cut);
+    assertFalse(node.lastAttempt().cancelled);
+    assertFalse(response.cut);
   }
 
   @Test
-  void brokenStreamWaitsForAPlaceBeforeItIsCut() {
+  void interruptedStreamWaitsForCapacityBeforeItIsAborted() {
     FleetEndpoint first = node.engine(1, 0, 80);
-    RecordedResponse got = node.ask("/stream/x");
-    node.last().head(200);
-    node.last().event(1);
+    RecordedResponse response = node.request("/stream/x");
+    node.lastAttempt().head(200);
+    node.lastAttempt().event(1);
     node.fleet.remove(first.id());
-    node.last().listener.failed(false, new IllegalStateException("reset"));
+    node.lastAttempt().listener.failed(false, new IllegalStateException("reset"));
     node.advance(500);
-    assertFalse(got.cut);
+    assertFalse(response.cut);
     node.engine(2, 0, 80);
     node.advance(50);
-    assertEquals("e2", node.last().attempt.endpoint().id());
+    assertEquals("e2", node.lastAttempt().attempt.endpoint().id());
   }
 
   @Test
-  void fullEngineIsAvoidedForItsReportsLag() {
+  void overloadedEngineIsAvoided() {
     FleetEndpoint first = node.engine(1, 0, 80);
     node.engine(2, 0, 80);
-    node.ask("/stream/x");
-    FleetEndpoint full = node.last().attempt.endpoint();
-    node.last().notRun(503, Optional.of(full.address()));
+    node.request("/stream/x");
+    FleetEndpoint full = node.lastAttempt().attempt.endpoint();
+    node.lastAttempt().notRun(503, Optional.of(full.address()));
     assertEquals(2, node.sent.size());
-    assertFalse(node.last().attempt.endpoint().id().equals(full.id()));
+    assertFalse(node.lastAttempt().attempt.endpoint().id().equals(full.id()));
     assertTrue(first.slots() > 0);
   }
 
   @Test
-  void streamWhoseFirstEngineCrashedGoesOnAtAnotherBeforeTheCrashIsKnown() {
+  void streamFailsOverBeforeCrashOfFirstEngineIsDetected() {
     FleetEndpoint crashed = node.engine(1, 0, 80);
-    RecordedResponse got = node.ask("/stream/x");
-    node.last().head(200);
-    node.last().event(1);
+    RecordedResponse response = node.request("/stream/x");
+    node.lastAttempt().head(200);
+    node.lastAttempt().event(1);
     FleetEndpoint other = node.engine(2, 0, 80);
-    // Busy for now, so that the crashed engine still looks like the better choice.
+    // Busy, so that the crashed engine still looks like the better choice.
     occupy(other);
 
-    node.last().listener.failed(false, new IllegalStateException("closed"));
+    node.lastAttempt().listener.failed(false, new IllegalStateException("closed"));
 
     assertEquals(crashed, node.sent.get(0).attempt.endpoint());
-    assertEquals(other, node.last().attempt.endpoint());
-    assertEquals(Optional.of("1"), node.last().attempt.resumeAfter());
-    node.last().head(200);
-    node.last().event(2);
-    node.last().listener.end();
-    assertTrue(got.whole);
+    assertEquals(other, node.lastAttempt().attempt.endpoint());
+    assertEquals(Optional.of("1"), node.lastAttempt().attempt.resumeAfter());
+    node.lastAttempt().head(200);
+    node.lastAttempt().event(2);
+    node.lastAttempt().listener.end();
+    assertTrue(response.whole);
   }
 
   @Test
-  void streamGoesOnAtTheSameEngineIfThereIsNoOther() {
+  void streamResumesAtSameEngineIfThereIsNoOther() {
     FleetEndpoint only = node.engine(1, 0, 80);
-    RecordedResponse got = node.ask("/stream/x");
-    node.last().head(200);
-    node.last().event(1);
+    RecordedResponse response = node.request("/stream/x");
+    node.lastAttempt().head(200);
+    node.lastAttempt().event(1);
 
-    node.last().listener.failed(false, new IllegalStateException("reset"));
+    node.lastAttempt().listener.failed(false, new IllegalStateException("reset"));
 
     assertEquals(2, node.sent.size());
-    assertEquals(only, node.last().attempt.endpoint());
-    assertFalse(got.cut);
+    assertEquals(only, node.lastAttempt().attempt.endpoint());
+    assertFalse(response.cut);
   }
 
   @Test
-  void refusedConnectionSendsANewRequestToAnotherEngine() {
+  void refusedConnectionRetriesOnAnotherEngine() {
     node.engine(1, 0, 80);
     node.engine(2, 0, 80);
-    node.ask("/once/x");
-    FleetEndpoint first = node.last().attempt.endpoint();
+    node.request("/once/x");
+    FleetEndpoint first = node.lastAttempt().attempt.endpoint();
 
-    node.last().listener.failed(true, new ConnectException("refused"));
+    node.lastAttempt().listener.failed(true, new ConnectException("refused"));
 
     assertEquals(2, node.sent.size());
-    assertFalse(first.equals(node.last().attempt.endpoint()));
+    assertFalse(first.equals(node.lastAttempt().attempt.endpoint()));
   }
 
   @Test
-  void streamThatRunsOnceGoesElsewhereIfItsEngineDiesBeforeThereIsAConnection() {
+  void nonResumableStreamFailsOverIfEngineDiesBeforeConnecting() {
     node.engine(1, 0, 80);
     node.engine(2, 0, 80);
-    node.ask("/once/x");
-    HostPort dead = node.last().attempt.endpoint().address();
-    node.last().arrived = false;
+    node.request("/once/x");
+    HostPort dead = node.lastAttempt().attempt.endpoint().address();
+    node.lastAttempt().arrived = false;
     node.fleet.suspect(node.fleet.at(ForwardingFixture.MODEL, dead).get(), "test");
     assertEquals(2, node.sent.size());
     assertTrue(node.sent.get(0).cancelled);
   }
 
-  /** Two engines die before the connections to them are given up: no run was used up. */
+  /** Engines that die before a connection is established must not use up runs. */
   @Test
-  void streamWhoseEnginesDieBeforeThereIsAConnectionHasNotRun() {
+  void streamIsNotRunIfAllEnginesDieBeforeConnecting() {
     for (int number = 1; number <= 3; number++) {
       node.engine(number, 0, 80);
     }
-    RecordedResponse got = node.ask("/stream/x");
+    RecordedResponse response = node.request("/stream/x");
     for (int dead = 1; dead <= 3; dead++) {
-      node.last().arrived = false;
-      HostPort address = node.last().attempt.endpoint().address();
+      node.lastAttempt().arrived = false;
+      HostPort address = node.lastAttempt().attempt.endpoint().address();
       node.fleet.suspect(node.fleet.at(ForwardingFixture.MODEL, address).get(), "test");
     }
     assertEquals(3, node.sent.size());
-    assertEquals(Verdict.NOT_RUN, got.refusal.get().verdict());
-    assertEquals(503, reason(got).status());
+    assertEquals(Verdict.NOT_RUN, response.refusal.get().verdict());
+    assertEquals(503, reason(response).status());
   }
 
   @Test
-  void requestThatHadNoConnectionAtItsTimeLimitHasNotRun() {
+  void requestWithoutConnectionAtDeadlineIsNotRun() {
     node.replica(1);
-    RecordedResponse got = node.ask("/unsafe/x");
-    node.last().arrived = false;
+    RecordedResponse response = node.request("/unsafe/x");
+    node.lastAttempt().arrived = false;
     node.advance(800);
-    assertEquals(Reason.NOT_STARTED_IN_TIME, reason(got));
-    assertEquals(Verdict.NOT_RUN, got.refusal.get().verdict());
+    assertEquals(Reason.NOT_STARTED_IN_TIME, reason(response));
+    assertEquals(Verdict.NOT_RUN, response.refusal.get().verdict());
   }
 
   private void occupy(FleetEndpoint engine) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
@@ -15,28 +15,28 @@
 import org.vaneworks.state.StatedBackoff;
 import org.vaneworks.state.Verdict;
 
-/** Checks where requests go while endpoints want no calls from this node. */
+/** Checks where requests go while endpoints have asked this node to back off. */
 final class ForwardingBackoffTest {
   private static final Duration BACKOFF = Duration.ofSeconds(3);
 
   private final ForwardingFixture node = new ForwardingFixture();
 
-  /** Says so on an answer to a question, which is no request. */
-  private void wantsNoCalls(FleetEndpoint endpoint, Duration length) {
+  /** States a backoff in the response to a call that is not a forwarded request. */
+  private void backOff(FleetEndpoint endpoint, Duration length) {
     node.fleet
         .statements()
         .answeredCall(endpoint, EndpointStatement.NONE.withBackoff(StatedBackoff.of(length)));
   }
 
-  private void turnAway(Duration length) {
-    node.last().listener.head(FakeResponseHead.rejected(StatedBackoff.of(length)));
+  private void reject(Duration length) {
+    node.lastAttempt().listener.head(FakeResponseHead.rejected(StatedBackoff.of(length)));
   }
 
-  private void askForSeconds(int seconds) {
+  private void sendRequestsForSeconds(int seconds) {
     for (int i = 0; i < seconds * 10; i++) {
-      node.ask("/safe/x");
-      node.last().head(200);
-      node.last().listener.end();
+      node.request("/safe/x");
+      node.lastAttempt().head(200);
+      node.lastAttempt().listener.end();
       node.advance(100);
     }
   }
@@ -48,144 +48,146 @@
   }
 
   @Test
-  void plainEndpointGetsNoRequestsUntilItsTimeIsOver() {
-    FleetEndpoint full = node.replica(1);
-    node.ask("/safe/x");
-    turnAway(BACKOFF);
+  void plainEndpointGetsNoRequestsDuringBackoff() {
+    FleetEndpoint backingOff = node.replica(1);
+    node.request("/safe/x");
+    reject(BACKOFF);
     node.replica(2);
-    askForSeconds(2);
-    assertEquals(1, sentTo(full));
-    askForSeconds(3);
-    assertTrue(sentTo(full) > 1);
+    sendRequestsForSeconds(2);
+    assertEquals(1, sentTo(backingOff));
+    sendRequestsForSeconds(3);
+    assertTrue(sentTo(backingOff) > 1);
   }
 
   @Test
-  void requestWaitsForTheEndOfATimeThatItsCallerHas() {
+  void requestWaitsForEndOfShortBackoff() {
     FleetEndpoint only = node.replica(1);
-    wantsNoCalls(only, Duration.ofMillis(300));
-    RecordedResponse got = node.ask("/safe/x");
+    backOff(only, Duration.ofMillis(300));
+    RecordedResponse response = node.request("/safe/x");
     node.advance(350);
     assertEquals(1, sentTo(only));
-    assertFalse(got.refusal.isPresent());
+    assertFalse(response.refusal.isPresent());
   }
 
   @Test
-  void requestIsRefusedAtOnceIfTheTimeIsLongerThanItsCallerHas() {
-    wantsNoCalls(node.replica(1), BACKOFF);
-    RecordedResponse got = node.ask("/safe/x");
-    assertEquals(Reason.NO_ENDPOINT, got.refusal.orElseThrow().reason());
-    assertEquals(Verdict.NOT_RUN, got.refusal.get().verdict());
+  void requestIsRefusedImmediatelyIfBackoffExceedsDeadline() {
+    backOff(node.replica(1), BACKOFF);
+    RecordedResponse response = node.request("/safe/x");
+    assertEquals(Reason.NO_ENDPOINT, response.refusal.orElseThrow().reason());
+    assertEquals(Verdict.NOT_RUN, response.refusal.get().verdict());
     assertEquals(0, node.sent.size());
   }
 
-  /** Guards against callers that are asked back only to be refused again. */
+  /** Guards against callers that retry too early and are refused again. */
   @Test
-  void callerIsAskedBackOnceTheFirstEndpointTakesRequestsAgain() {
-    wantsNoCalls(node.replica(1), Duration.ofSeconds(9));
-    wantsNoCalls(node.replica(2), BACKOFF);
-    Duration comeBack = node.ask("/safe/x").refusal.orElseThrow().retryAfter().orElseThrow();
-    assertTrue(comeBack.compareTo(BACKOFF) >= 0, comeBack.toString());
-    assertTrue(comeBack.compareTo(BACKOFF.multipliedBy(2)) < 0, comeBack.toString());
+  void retryAfterIsAtLeastShortestBackoff() {
+    backOff(node.replica(1), Duration.ofSeconds(9));
+    backOff(node.replica(2), BACKOFF);
+    Duration retryAfter = node.request("/safe/x").refusal.orElseThrow().retryAfter().orElseThrow();
+    assertTrue(retryAfter.compareTo(BACKOFF) >= 0, retryAfter.toString());
+    assertTrue(retryAfter.compareTo(BACKOFF.multipliedBy(2)) < 0, retryAfter.toString());
   }
 
   @Test
-  void callersAreNotAskedBackAllAtOnce() {
-    wantsNoCalls(node.replica(1), BACKOFF);
-    long different =
+  void retryAfterIsJittered() {
+    backOff(node.replica(1), BACKOFF);
+    long distinct =
         IntStream.range(0, 10)
-            .mapToObj(i -> node.ask("/safe/x").refusal.orElseThrow().retryAfter())
+            .mapToObj(i -> node.request("/safe/x").refusal.orElseThrow().retryAfter())
             .collect(Collectors.toSet())
             .size();
-    assertTrue(different >= 9, different + " times");
+    assertTrue(distinct >= 9, distinct + " times");
   }
 
   @Test
-  void requestDoesNotPassAnEngineThatWantsNoCallsAsALaterPart() {
+  void pathAvoidsLaterEngineThatBacksOff() {
     node.engine(1, 0, 40);
-    FleetEndpoint full = node.engine(2, 40, 80);
+    FleetEndpoint backingOff = node.engine(2, 40, 80);
     node.engine(3, 40, 80);
-    wantsNoCalls(full, BACKOFF);
+    backOff(backingOff, BACKOFF);
     for (int i = 0; i < 20; i++) {
-      node.ask("/stream/x");
-      String path = node.last().attempt.path().orElseThrow();
-      assertFalse(path.contains(full.address().toString()), path);
+      node.request("/stream/x");
+      String path = node.lastAttempt().attempt.path().orElseThrow();
+      assertFalse(path.contains(backingOff.address().toString()), path);
     }
   }
 
   @Test
-  void shorterTimeThatIsAskedLaterDoesNotEndALongerOne() {
+  void laterShorterBackoffDoesNotEndLongerOne() {
     FleetEndpoint only = node.replica(1);
-    wantsNoCalls(only, BACKOFF);
-    wantsNoCalls(only, Duration.ofMillis(10));
+    backOff(only, BACKOFF);
+    backOff(only, Duration.ofMillis(10));
     node.advance(1000);
-    node.ask("/safe/x");
+    node.request("/safe/x");
     assertEquals(0, node.sent.size());
   }
 
   @Test
-  void timeThatCannotBeReadHoldsNothingBackForLong() {
+  void unreadableBackoffIsShort() {
     FleetEndpoint only = node.replica(1);
-    node.ask("/safe/x");
-    node.last().listener.head(FakeResponseHead.rejected(StatedBackoff.unreadable()));
+    node.request("/safe/x");
+    node.lastAttempt().listener.head(FakeResponseHead.rejected(StatedBackoff.unreadable()));
     node.advance(250);
-    node.ask("/safe/x");
+    node.request("/safe/x");
     assertTrue(sentTo(only) >= 2);
   }
 
   @Test
-  void answerOfAnotherEndpointInItsPlaceAsksForNothing() {
+  void misdirectedResponseSetsNoBackoff() {
     FleetEndpoint only = node.replica(1);
-    node.ask("/safe/x");
-    EndpointStatement said = EndpointStatement.NONE.withBackoff(StatedBackoff.of(BACKOFF));
-    node.last().listener.head(new FakeResponseHead(421, true, true, Optional.empty(), said));
+    node.request("/safe/x");
+    EndpointStatement statement = EndpointStatement.NONE.withBackoff(StatedBackoff.of(BACKOFF));
+    node.lastAttempt()
+        .listener
+        .head(new FakeResponseHead(421, true, true, Optional.empty(), statement));
     node.advance(900);
-    node.ask("/safe/x");
+    node.request("/safe/x");
     assertTrue(sentTo(only) >= 2);
   }
 
   @Test
-  void laterRunOfAnEndpointThatLeftTakesRequests() {
+  void restartedEndpointThatHadLeftGetsRequests() {
     FleetEndpoint only = node.replica(1);
     node.fleet.statements().answeredCall(only, EndpointStatement.NONE.thatLeaves());
-    node.startsAgain(only);
-    node.ask("/safe/x");
+    node.restart(only);
+    node.request("/safe/x");
     assertEquals(1, node.sent.size());
   }
 
   @Test
-  void laterRunOfAnEndpointAsksForNothingOfWhatTheFormerDid() {
+  void restartClearsBackoff() {
     FleetEndpoint only = node.replica(1);
-    wantsNoCalls(only, BACKOFF);
-    node.startsAgain(only);
-    node.ask("/safe/x");
+    backOff(only, BACKOFF);
+    node.restart(only);
+    node.request("/safe/x");
     assertEquals(1, node.sent.size());
   }
 
-  /** Begins streams over the first and the second engine, and loses the second. */
-  private void loseTheSecondEngineUnder(int streams) {
+  /** Starts streams over the first and the second engine, and loses the second. */
+  private void loseSecondEngineOf(int streams) {
     FleetEndpoint first = node.engine(1, 0, 40);
     FleetEndpoint second = node.engine(2, 40, 80);
     for (int i = 0; i < streams; i++) {
-      node.ask("/stream/x");
-      node.last().head(200);
-      node.last().event(1);
+      node.request("/stream/x");
+      node.lastAttempt().head(200);
+      node.lastAttempt().event(1);
     }
     node.engine(3, 0, 40);
     node.engine(4, 40, 80);
-    wantsNoCalls(first, Duration.ofSeconds(10));
+    backOff(first, Duration.ofSeconds(10));
     node.fleet.suspect(node.fleet.at(ForwardingFixture.MODEL, second.address()).get(), "silent");
     node.advance(1000);
   }
 
   @Test
-  void engineThatWantsNoCallsGetsOneOrderForAnotherPathAtMost() {
-    loseTheSecondEngineUnder(3);
+  void engineThatBacksOffGetsAtMostOnePathChange() {
+    loseSecondEngineOf(3);
     assertTrue(node.control.repaths.size() <= 1, node.control.repaths.toString());
   }
 
   @Test
-  void streamThatGetsNoOtherPathThereGoesOnAtAnotherEngine() {
-    loseTheSecondEngineUnder(3);
+  void streamWithoutPathChangeFailsOver() {
+    loseSecondEngineOf(3);
     long elsewhere =
         node.sent.stream()
             .filter(sent -> sent.attempt.endpoint().id().equals("e3"))
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
@@ -46,16 +46,16 @@
 import org.vaneworks.tests.placement.Models;
 import org.vaneworks.tests.shared.StoreInMemory;
 
-/** A forwarder under a paused clock; endpoints and callers are played by the test. */
+/** A forwarder on a manually advanced clock; the test plays endpoints and callers. */
 final class ForwardingFixture {
   static final String MODEL = "writer";
   static final String PLAIN = "records";
   static final String KEY = "secret";
 
-  /** When all endpoints started that a test lists. */
+  /** The incarnation of all endpoints that a test registers without another one. */
   static final Incarnation FIRST_START = Incarnation.startedAt(1000);
 
-  /** An attempt that a test answers. */
+  /** An attempt whose response the test provides. */
   static final class SentAttempt implements EndpointTransport.EndpointCall {
     final Attempt attempt;
     final EndpointTransport.Listener listener;
@@ -111,7 +111,7 @@
     }
   }
 
-  record Asked(String id, String host, String path, Optional<String> key, Duration limit)
+  record TestRequest(String id, String host, String path, Optional<String> key, Duration limit)
       implements CallerRequest {
     @Override
     public Optional<Duration> callerTimeout() {
@@ -129,8 +129,8 @@
     }
   }
 
-  /** Engines that answer reports unless they are dead, and path changes as the test says. */
-  static final class Control implements EngineControl {
+  /** Reports of engines unless they are dead, and outcomes of path changes set by the test. */
+  static final class FakeEngineControl implements EngineControl {
     final List<String> repaths = new ArrayList<>();
     final List<HostPort> dead = new ArrayList<>();
     final List<HostPort> slow = new ArrayList<>();
@@ -170,7 +170,7 @@
 
   final PausedExecutor clock = PausedExecutor.create();
   final List<SentAttempt> sent = new ArrayList<>();
-  final Control control = new Control();
+  final FakeEngineControl control = new FakeEngineControl();
   final SimpleMeterRegistry meters = new SimpleMeterRegistry();
   final Fleet fleet;
   final Forwarder forwarder;
@@ -240,12 +240,12 @@
         false);
   }
 
-  /** Lists an engine; the last part of its address is its number. */
+  /** Registers an engine; its number is the last part of its address. */
   FleetEndpoint engine(int number, int from, int to) {
     return engine(number, from, to, FIRST_START);
   }
 
-  /** Lists an engine by the run of its process. */
+  /** Registers an engine with the given incarnation. */
   FleetEndpoint engine(int number, int from, int to, Incarnation run) {
     FleetEndpoint engine =
         new FleetEndpoint(
@@ -263,13 +263,13 @@
     return engine;
   }
 
-  /** Lists an endpoint as started again under its id, with nothing of before. */
-  void startsAgain(FleetEndpoint endpoint) {
+  /** Registers an endpoint as restarted under the same id, without layers. */
+  void restart(FleetEndpoint endpoint) {
     long before = endpoint.incarnation().startedAt().orElse(0);
     relist(endpoint, false, Optional.empty(), Incarnation.startedAt(before + 1000));
   }
 
-  /** Lists an endpoint as one that will end soon. */
+  /** Registers an endpoint as leaving. */
   void announceLeaving(FleetEndpoint endpoint) {
     relist(endpoint, true, endpoint.layers(), endpoint.incarnation());
   }
@@ -293,7 +293,7 @@
             incarnation));
   }
 
-  /** Lists a plain replica. */
+  /** Registers a replica of the plain service. */
   FleetEndpoint replica(int number) {
     FleetEndpoint replica =
         new FleetEndpoint(
@@ -311,18 +311,19 @@
     return replica;
   }
 
-  RecordedResponse ask(String path) {
-    return ask(path, Optional.of(KEY));
+  RecordedResponse request(String path) {
+    return request(path, Optional.of(KEY));
   }
 
-  RecordedResponse ask(String path, Optional<String> key) {
-    RecordedResponse got = new RecordedResponse();
-    Asked asked = new Asked("q" + sent.size(), "host.example", path, key, Duration.ofSeconds(20));
-    got.flow = forwarder.forward(asked, got);
-    return got;
+  RecordedResponse request(String path, Optional<String> key) {
+    RecordedResponse response = new RecordedResponse();
+    TestRequest asked =
+        new TestRequest("q" + sent.size(), "host.example", path, key, Duration.ofSeconds(20));
+    response.listener = forwarder.forward(asked, response);
+    return response;
   }
 
-  SentAttempt last() {
+  SentAttempt lastAttempt() {
     return sent.get(sent.size() - 1);
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/LateNodeProgressTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/LateNodeProgressTest.java
@@ -12,82 +12,82 @@
 import org.vaneworks.coordination.fleet.FleetEndpoint;
 import org.vaneworks.tests.forwarding.ForwardingFixture.SentAttempt;
 
-/** Checks that a node that stands still does not take its own delay for a stream's silence. */
+/** Checks that a node whose event loop was blocked does not mistake its own delay for a stall. */
 final class LateNodeProgressTest {
-  /** Longer than a stream may be silent, but a pause that raises no question for the pace. */
-  private static final Duration STAND = Duration.ofMillis(290);
+  /** Longer than the stall timeout, but too short to cause a probe of the pace. */
+  private static final Duration PAUSE = Duration.ofMillis(290);
 
   private static final int EVENTS = 7;
-  private static final int BETWEEN_EVENTS = 50;
+  private static final int MILLIS_BETWEEN_EVENTS = 50;
 
   private final ForwardingFixture node = new ForwardingFixture();
   private FleetEndpoint engine;
   private SentAttempt running;
 
-  /** Begins a stream that is fast until the first look at it is over. */
+  /** Starts a stream that is fast until its first progress check has run. */
   @BeforeEach
-  void beginStream() {
+  void startStream() {
     engine = node.engine(1, 0, 80);
-    node.ask("/stream/x");
-    running = node.last();
+    node.request("/stream/x");
+    running = node.lastAttempt();
     running.head(200);
     for (int id = 1; id <= EVENTS; id++) {
-      node.advance(BETWEEN_EVENTS);
+      node.advance(MILLIS_BETWEEN_EVENTS);
       running.event(id);
     }
   }
 
-  private void eventArrives(int afterMillis) {
+  private void eventArrivesAfter(int afterMillis) {
     node.clock.deliver(() -> running.event(EVENTS + 1), Duration.ofMillis(afterMillis));
   }
 
-  private double uncounted() {
+  private double ignoredStalls() {
     var counter = node.meters.find("vaneworks.uncounted.silences").tag("reason", "look").counter();
     return counter == null ? 0 : counter.count();
   }
 
-  // Guards against engines that a node asked for signs of life while their events lay in its
-  // socket: its loop was held up.
+  // Guards against probing engines whose events are unread in the socket of a node whose event loop
+  // was blocked.
   @Test
-  void streamWhoseEventsLieUnreadIsNotSeenAsStalled() {
-    eventArrives(100);
-    node.clock.standStill(STAND);
+  void streamWithUnreadEventsIsNotStalled() {
+    eventArrivesAfter(100);
+    node.clock.standStill(PAUSE);
     node.advance(100);
     assertEquals(List.of(), node.control.reported);
-    assertEquals(1, uncounted());
+    assertEquals(1, ignoredStalls());
   }
 
-  // Guards against a stream that a node moved off a live engine: the node had suspected it before,
-  // and its events lay in the socket.
+  // Guards against failing a stream over from a live engine that had been suspected before, while
+  // its events are unread in the socket.
   @Test
-  void streamOfASuspectedEngineStaysWhileItsEventsLieUnread() {
+  void streamWithUnreadEventsStaysOnSuspectedEngine() {
     node.control.dead.add(engine.address());
     node.advance(400);
     running.event(EVENTS + 1);
     node.engine(2, 0, 80);
-    eventArrives(100);
-    node.clock.standStill(STAND);
+    eventArrivesAfter(100);
+    node.clock.standStill(PAUSE);
     node.advance(100);
     assertFalse(running.cancelled);
     assertEquals(1, node.sent.size());
   }
 
-  // Guards against a dead engine that its node found late because it was late itself for a moment.
+  // Guards against a late detection of a dead engine after a short pause of the node itself.
   @Test
-  void silentStreamIsSeenSoonAfterItsNodeStoodStill() {
+  void silentStreamIsDetectedSoonAfterNodePause() {
     node.control.dead.add(engine.address());
-    node.clock.standStill(STAND);
+    node.clock.standStill(PAUSE);
     node.advance(10);
     assertEquals(Set.of(engine.address()), Set.copyOf(node.control.reported));
   }
 
-  // Guards against a dead engine that a node never finds because it is late itself each time.
+  // Guards against a dead engine that is never detected because every check of the node runs late.
   @Test
-  void silentStreamIsSeenByANodeThatIsAlwaysLate() {
+  void silentStreamIsDetectedByNodeThatIsAlwaysLate() {
     node.control.dead.add(engine.address());
     for (int i = 0; i < 3; i++) {
       assertTrue(node.control.reported.isEmpty());
-      node.clock.standStill(STAND);
+      node.clock.standStill(PAUSE);
     }
     assertEquals(Set.of(engine.address()), Set.copyOf(node.control.reported));
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/PathCrashTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/PathCrashTest.java
@@ -12,11 +12,11 @@
 import org.vaneworks.state.Reason;
 import org.vaneworks.tests.forwarding.ForwardingFixture.SentAttempt;
 
-/** Checks what the ends of engines on one path say of the request that passes them. */
+/** Checks how crashes of engines on a path count towards the quarantine of its request. */
 final class PathCrashTest {
   private final ForwardingFixture node = new ForwardingFixture();
 
-  /** Lists three engines that hold the model together; their numbers begin at one. */
+  /** Registers three engines that hold the model together, numbered from {@code first}. */
   private FleetEndpoint[] path(int first) {
     return new FleetEndpoint[] {
       node.engine(first, 0, 30), node.engine(first + 1, 30, 60), node.engine(first + 2, 60, 80)
@@ -27,63 +27,63 @@
     return node.fleet.at(ForwardingFixture.MODEL, engine.address()).orElseThrow();
   }
 
-  private void end(FleetEndpoint engine) {
+  private void crash(FleetEndpoint engine) {
     TrackedEndpoint ended = tracked(engine);
     node.fleet.noteNobodyListens(ended);
     node.fleet.suspect(ended, "its box refuses connections");
   }
 
-  private void delist(FleetEndpoint... engines) {
+  private void remove(FleetEndpoint... engines) {
     for (FleetEndpoint engine : engines) {
       node.fleet.remove(engine.id());
     }
   }
 
   @Test
-  void threeEnginesOfOnePathThatEndTogetherAreNoProofAgainstARequest() {
+  void simultaneousLossOfOnePathDoesNotQuarantineRequest() {
     FleetEndpoint[] lost = path(1);
-    node.ask("/stream/x");
-    node.last().head(200);
-    node.last().event(1);
-    end(lost[2]);
-    end(lost[1]);
-    end(lost[0]);
-    delist(lost);
+    node.request("/stream/x");
+    node.lastAttempt().head(200);
+    node.lastAttempt().event(1);
+    crash(lost[2]);
+    crash(lost[1]);
+    crash(lost[0]);
+    remove(lost);
     path(4);
-    RecordedResponse again = node.ask("/stream/x");
+    RecordedResponse again = node.request("/stream/x");
     assertEquals(Optional.empty(), again.refusal);
   }
 
   @Test
-  void requestThatEndsALaterEngineOfEachPathIsHeldBack() {
-    holdBack();
+  void requestThatCrashesLaterEngineOfEachPathIsQuarantined() {
+    quarantineRequest();
     path(10);
-    assertEquals(Reason.QUARANTINED, node.ask("/once/x").refusal.orElseThrow().reason());
+    assertEquals(Reason.QUARANTINED, node.request("/once/x").refusal.orElseThrow().reason());
   }
 
-  /** Crashes the later engine of three paths, so that the request is held back. */
-  private void holdBack() {
+  /** Crashes the later engine of three paths, so that the request is quarantined. */
+  private void quarantineRequest() {
     for (int first = 1; first <= 7; first += 3) {
       FleetEndpoint[] engines = path(first);
-      node.ask("/once/x");
-      node.last().head(200);
-      end(engines[1]);
-      node.last().listener.failed(false, new ClosedChannelException());
-      delist(engines);
+      node.request("/once/x");
+      node.lastAttempt().head(200);
+      crash(engines[1]);
+      node.lastAttempt().listener.failed(false, new ClosedChannelException());
+      remove(engines);
     }
   }
 
   @Test
-  void requestThatRunsAsItIsHeldBackIsNotGivenAnotherPathWhenAnEngineLeaves() {
+  void runningQuarantinedRequestKeepsPathWhenEngineLeaves() {
     FleetEndpoint[] running = path(20);
-    RecordedResponse got = node.ask("/once/x");
-    SentAttempt attempt = node.last();
+    RecordedResponse response = node.request("/once/x");
+    SentAttempt attempt = node.lastAttempt();
     attempt.head(200);
     attempt.event(1);
     node.advance(1500);
-    // It is full for all that the next ones see of it.
+    // Keeps the next requests off this engine.
     tracked(running[0]).avoidUntil(Long.MAX_VALUE);
-    holdBack();
+    quarantineRequest();
     int ordered = node.control.repaths.size();
     node.engine(30, 60, 80);
     node.announceLeaving(running[2]);
@@ -91,22 +91,22 @@
     assertEquals(ordered, node.control.repaths.size());
     attempt.event(2);
     attempt.listener.end();
-    assertTrue(got.whole);
+    assertTrue(response.whole);
   }
 
   @Test
-  void pathIsNotOrderedAgainOnceTheRequestIsHeldBack() {
+  void pathChangeIsNotRetriedOnceRequestIsQuarantined() {
     FleetEndpoint[] running = path(20);
-    node.ask("/once/x");
-    node.last().head(200);
+    node.request("/once/x");
+    node.lastAttempt().head(200);
     node.advance(1500);
     tracked(running[0]).avoidUntil(Long.MAX_VALUE);
     node.engine(30, 30, 60);
     node.control.answer = new RepathOutcome(RepathOutcome.Kind.REFUSED, Optional.empty());
-    end(running[1]);
+    crash(running[1]);
     node.clock.runDue();
     assertEquals(1, node.control.repaths.size());
-    holdBack();
+    quarantineRequest();
     int ordered = node.control.repaths.size();
     node.advance(900);
     assertEquals(ordered, node.control.repaths.size());
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/PlainCrashTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/PlainCrashTest.java
@@ -9,41 +9,41 @@
 import org.vaneworks.state.Reason;
 import org.vaneworks.state.Verdict;
 
-/** Checks what becomes of a request that ends the replicas of a plain service. */
+/** Checks that a request that crashes replicas of a plain service is quarantined. */
 final class PlainCrashTest {
   private final ForwardingFixture node = new ForwardingFixture();
 
-  /** Asks a replica that ends when it begins the request, and leaves the list. */
-  private RecordedResponse askAndCrash(int number) {
+  /** Sends the request to a replica that crashes when it starts it and is then removed. */
+  private RecordedResponse requestAndCrash(int number) {
     node.replica(number);
-    RecordedResponse got = node.ask("/unsafe/x");
-    node.last().listener.failed(false, new ClosedChannelException());
+    RecordedResponse response = node.request("/unsafe/x");
+    node.lastAttempt().listener.failed(false, new ClosedChannelException());
     node.fleet.remove("r" + number);
-    return got;
+    return response;
   }
 
   @Test
-  void requestUnderWhichThreeReplicasEndedIsRefusedAsNotRun() {
+  void requestThatCrashedThreeReplicasIsRefusedAsNotRun() {
     for (int number = 1; number <= 3; number++) {
-      assertEquals(Verdict.MAY_HAVE_RUN, askAndCrash(number).refusal.get().verdict());
+      assertEquals(Verdict.MAY_HAVE_RUN, requestAndCrash(number).refusal.get().verdict());
     }
     node.replica(4);
-    RecordedResponse got = node.ask("/unsafe/x");
+    RecordedResponse response = node.request("/unsafe/x");
     assertEquals(3, node.sent.size());
-    assertEquals(Reason.QUARANTINED, got.refusal.get().reason());
-    assertEquals(Verdict.NOT_RUN, got.refusal.get().verdict());
+    assertEquals(Reason.QUARANTINED, response.refusal.get().reason());
+    assertEquals(Verdict.NOT_RUN, response.refusal.get().verdict());
   }
 
   @Test
-  void otherRequestsOfTheServiceRun() {
+  void otherRequestsOfServiceStillRun() {
     for (int number = 1; number <= 3; number++) {
-      askAndCrash(number);
+      requestAndCrash(number);
     }
     node.replica(4);
-    RecordedResponse got = node.ask("/unsafe/y");
-    node.last().head(200);
-    node.last().listener.end();
-    assertEquals(Optional.of(200), got.status);
-    assertFalse(got.refusal.isPresent());
+    RecordedResponse response = node.request("/unsafe/y");
+    node.lastAttempt().head(200);
+    node.lastAttempt().listener.end();
+    assertEquals(Optional.of(200), response.status);
+    assertFalse(response.refusal.isPresent());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RecordedResponse.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RecordedResponse.java
@@ -7,7 +7,7 @@
 import org.vaneworks.coordination.forwarding.ResponseHead;
 import org.vaneworks.state.Refusal;
 
-/** What a caller got. */
+/** Records the response that a caller received. */
 public final class RecordedResponse implements CallerResponse {
   public Optional<Integer> status = Optional.empty();
   public Optional<Refusal> refusal = Optional.empty();
@@ -15,7 +15,7 @@
   public boolean whole;
   public boolean cut;
   public boolean keepsUp = true;
-  CallerResponse.Listener flow;
+  CallerResponse.Listener listener;
 
   @Override
   public void head(ResponseHead head) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/package-info.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of taking a request to an endpoint and its answer back, in paused time. */
+/** Tests of request forwarding on a manually advanced clock. */
 package org.vaneworks.tests.forwarding;
