--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FailoverTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FailoverTest.java
@@ -189,12 +189,13 @@
     running.head(200);
     running.event(1);
     node.engine(7, 40, 80);
-    node.control.answer = new RepathOutcome(RepathOutcome.Kind.UNKNOWN_REQUEST, Optional.empty());
+    node.control.repathOutcome =
+        new RepathOutcome(RepathOutcome.Kind.UNKNOWN_REQUEST, Optional.empty());
     node.control.dead.add(later.address());
     setRetryBudget(0);
     node.advance(400);
     assertTrue(suspected(later));
-    assertEquals(1, node.control.repaths.size(), "path changes");
+    assertEquals(1, node.control.repathedPaths.size(), "path changes");
     if (lateEvent) {
       running.event(2);
     }
@@ -222,9 +223,10 @@
     node.engine(7, 40, 80);
     node.restart(later);
     node.advance(3000);
-    boolean helped = !node.control.repaths.isEmpty() || node.sent.size() > 1;
+    boolean helped = !node.control.repathedPaths.isEmpty() || node.sent.size() > 1;
     assertTrue(
-        helped || response.cut, "3 s after the end: no path change, no send, no end of the response");
+        helped || response.cut,
+        "3 s after the end: no path change, no send, no end of the response");
   }
 
   // Guards against quarantining requests because of crashes of engines that had completed them.
@@ -269,7 +271,8 @@
     running.event(1);
     node.control.dead.add(first.address());
     node.control.dead.add(later.address());
-    node.control.answer = new RepathOutcome(RepathOutcome.Kind.UNKNOWN_REQUEST, Optional.empty());
+    node.control.repathOutcome =
+        new RepathOutcome(RepathOutcome.Kind.UNKNOWN_REQUEST, Optional.empty());
     setRetryBudget(0);
     node.advance(1500);
     node.control.dead.remove(first.address());
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
@@ -314,8 +314,8 @@
     node.lastAttempt().event(1);
     node.control.dead.add(used.address());
     node.advance(600);
-    assertEquals(1, node.control.repaths.size());
-    assertFalse(node.control.repaths.get(0).contains(used.address().toString()));
+    assertEquals(1, node.control.repathedPaths.size());
+    assertFalse(node.control.repathedPaths.get(0).contains(used.address().toString()));
     assertFalse(response.cut);
   }
 
@@ -344,7 +344,7 @@
       node.advance(60);
       node.lastAttempt().event(id);
     }
-    assertTrue(node.control.reported.isEmpty());
+    assertTrue(node.control.probed.isEmpty());
   }
 
   @Test
@@ -392,7 +392,7 @@
       node.advance(180);
       node.lastAttempt().event(id);
     }
-    assertTrue(node.control.repaths.isEmpty());
+    assertTrue(node.control.repathedPaths.isEmpty());
   }
 
   @Test
@@ -408,8 +408,8 @@
       node.advance(100);
       node.lastAttempt().event(id);
     }
-    assertEquals(1, node.control.repaths.size());
-    assertTrue(node.control.repaths.get(0).contains("10.0.0.3"));
+    assertEquals(1, node.control.repathedPaths.size());
+    assertTrue(node.control.repathedPaths.get(0).contains("10.0.0.3"));
   }
 
   @Test
@@ -421,12 +421,12 @@
     node.lastAttempt().event(1);
     FleetEndpoint third = node.engine(3, 40, 80);
     node.engine(4, 40, 80);
-    node.control.answer =
+    node.control.repathOutcome =
         new RepathOutcome(RepathOutcome.Kind.OBSTACLE, Optional.of(third.address()));
     node.control.dead.add(second.address());
     node.advance(600);
-    String lastPath = node.control.repaths.get(node.control.repaths.size() - 1);
-    assertTrue(node.control.repaths.size() >= 2);
+    String lastPath = node.control.repathedPaths.get(node.control.repathedPaths.size() - 1);
+    assertTrue(node.control.repathedPaths.size() >= 2);
     assertFalse(lastPath.contains(second.address().toString()), lastPath);
   }
 
@@ -438,7 +438,7 @@
     node.lastAttempt().head(200);
     node.lastAttempt().event(1);
     node.engine(3, 40, 80);
-    node.control.answer = new RepathOutcome(RepathOutcome.Kind.OBSTACLE, Optional.empty());
+    node.control.repathOutcome = new RepathOutcome(RepathOutcome.Kind.OBSTACLE, Optional.empty());
     node.announceLeaving(second);
     for (int id = 2; id < 30; id++) {
       node.advance(100);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
@@ -182,7 +182,7 @@
   @Test
   void engineThatBacksOffGetsAtMostOnePathChange() {
     loseSecondEngineOf(3);
-    assertTrue(node.control.repaths.size() <= 1, node.control.repaths.toString());
+    assertTrue(node.control.repathedPaths.size() <= 1, node.control.repathedPaths.toString());
   }
 
   @Test
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
@@ -131,17 +131,17 @@
 
   /** Reports of engines unless they are dead, and outcomes of path changes set by the test. */
   static final class FakeEngineControl implements EngineControl {
-    final List<String> repaths = new ArrayList<>();
+    final List<String> repathedPaths = new ArrayList<>();
     final List<HostPort> dead = new ArrayList<>();
     final List<HostPort> slow = new ArrayList<>();
-    final List<HostPort> reported = new ArrayList<>();
+    final List<HostPort> probed = new ArrayList<>();
     final Map<HostPort, Incarnation> started = new HashMap<>();
     double pace = 1;
-    RepathOutcome answer = new RepathOutcome(RepathOutcome.Kind.ACCEPTED, Optional.empty());
+    RepathOutcome repathOutcome = new RepathOutcome(RepathOutcome.Kind.ACCEPTED, Optional.empty());
 
     @Override
     public CompletableFuture<EngineReport> report(FleetEndpoint engine, Duration limit) {
-      reported.add(engine.address());
+      probed.add(engine.address());
       return dead.contains(engine.address())
           ? CompletableFuture.failedFuture(new IllegalStateException("no answer"))
           : CompletableFuture.completedFuture(
@@ -163,8 +163,8 @@
     @Override
     public CompletableFuture<RepathOutcome> repath(
         FleetEndpoint first, String requestId, String path) {
-      repaths.add(path);
-      return CompletableFuture.completedFuture(answer);
+      repathedPaths.add(path);
+      return CompletableFuture.completedFuture(repathOutcome);
     }
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/LateNodeProgressTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/LateNodeProgressTest.java
@@ -53,7 +53,7 @@
     eventArrivesAfter(100);
     node.clock.standStill(PAUSE);
     node.advance(100);
-    assertEquals(List.of(), node.control.reported);
+    assertEquals(List.of(), node.control.probed);
     assertEquals(1, ignoredStalls());
   }
 
@@ -78,7 +78,7 @@
     node.control.dead.add(engine.address());
     node.clock.standStill(PAUSE);
     node.advance(10);
-    assertEquals(Set.of(engine.address()), Set.copyOf(node.control.reported));
+    assertEquals(Set.of(engine.address()), Set.copyOf(node.control.probed));
   }
 
   // Guards against a dead engine that is never detected because every check of the node runs late.
@@ -86,9 +86,9 @@
   void silentStreamIsDetectedByNodeThatIsAlwaysLate() {
     node.control.dead.add(engine.address());
     for (int i = 0; i < 3; i++) {
-      assertTrue(node.control.reported.isEmpty());
+      assertTrue(node.control.probed.isEmpty());
       node.clock.standStill(PAUSE);
     }
-    assertEquals(Set.of(engine.address()), Set.copyOf(node.control.reported));
+    assertEquals(Set.of(engine.address()), Set.copyOf(node.control.probed));
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/PathCrashTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/PathCrashTest.java
@@ -84,11 +84,11 @@
     // Keeps the next requests off this engine.
     tracked(running[0]).avoidUntil(Long.MAX_VALUE);
     quarantineRequest();
-    int ordered = node.control.repaths.size();
+    int pathChanges = node.control.repathedPaths.size();
     node.engine(30, 60, 80);
     node.announceLeaving(running[2]);
     node.advance(900);
-    assertEquals(ordered, node.control.repaths.size());
+    assertEquals(pathChanges, node.control.repathedPaths.size());
     attempt.event(2);
     attempt.listener.end();
     assertTrue(response.whole);
@@ -102,13 +102,13 @@
     node.advance(1500);
     tracked(running[0]).avoidUntil(Long.MAX_VALUE);
     node.engine(30, 30, 60);
-    node.control.answer = new RepathOutcome(RepathOutcome.Kind.REFUSED, Optional.empty());
+    node.control.repathOutcome = new RepathOutcome(RepathOutcome.Kind.REFUSED, Optional.empty());
     crash(running[1]);
     node.clock.runDue();
-    assertEquals(1, node.control.repaths.size());
+    assertEquals(1, node.control.repathedPaths.size());
     quarantineRequest();
-    int ordered = node.control.repaths.size();
+    int pathChanges = node.control.repathedPaths.size();
     node.advance(900);
-    assertEquals(ordered, node.control.repaths.size());
+    assertEquals(pathChanges, node.control.repathedPaths.size());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RestartedEndpointTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RestartedEndpointTest.java
@@ -42,8 +42,8 @@
     node.engine(3, 40, 80);
     node.restart(second);
     assertEquals(1, node.sent.size());
-    assertEquals(1, node.control.repaths.size());
-    assertTrue(node.control.repaths.get(0).contains("10.0.0.3"));
+    assertEquals(1, node.control.repathedPaths.size());
+    assertTrue(node.control.repathedPaths.get(0).contains("10.0.0.3"));
   }
 
   @Test
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RunningAttemptTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RunningAttemptTest.java
@@ -79,7 +79,8 @@
     running = node.lastAttempt();
     running.head(200);
     running.event(1);
-    node.control.answer = new RepathOutcome(RepathOutcome.Kind.UNKNOWN_REQUEST, Optional.empty());
+    node.control.repathOutcome =
+        new RepathOutcome(RepathOutcome.Kind.UNKNOWN_REQUEST, Optional.empty());
     node.control.dead.add(later.address());
     node.engine(7, 40, 80);
     exhaustRetryBudget();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardLog.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardLog.java
@@ -101,14 +101,14 @@
    * Logs that an endpoint was lost while it had a request.
    *
    * @param sinceSent the time since the request was sent there
-   * @param sincePart the time since the first part of its response; empty if there was none
+   * @param sinceFirstPart the time since the first part of its response; empty if there was none
    */
   static void lostEndpoint(
       CallerRequest request,
       RequestContent content,
       TrackedEndpoint endpoint,
       Duration sinceSent,
-      Optional<Duration> sincePart) {
+      Optional<Duration> sinceFirstPart) {
     EventLog.info(
         Event.REQUEST_LOST_ENDPOINT,
         "request",
@@ -120,7 +120,7 @@
         "sentMsAgo",
         sinceSent.toMillis(),
         "firstPartMsAgo",
-        sincePart.map(Duration::toMillis).orElse(-1L));
+        sinceFirstPart.map(Duration::toMillis).orElse(-1L));
   }
 
   static void pathChanged(CallerRequest request, String cause, Object outcome, String path) {
@@ -166,7 +166,7 @@
    * @param failure the failure of the last attempt
    * @param denial why there is no other attempt
    */
-  static void cut(
+  static void aborted(
       CallerRequest request,
       AttemptFailure failure,
       ResendDenial denial,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
@@ -488,7 +488,8 @@
   private void giveUp(Verdict lastVerdict, ResendDenial denial, String detail) {
     if (headSent) {
       close();
-      ForwardLog.cut(request, lastFailure, denial, detail, requestProgress(), context.counters());
+      ForwardLog.aborted(
+          request, lastFailure, denial, detail, requestProgress(), context.counters());
       response.abort();
       return;
     }
@@ -632,7 +633,7 @@
     }
 
     @Override
-    public void lost(TrackedEndpoint engine) {
+    public void engineLost(TrackedEndpoint engine) {
       recordDetectionTime();
       noteLost(engine);
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
@@ -133,7 +133,7 @@
   /** Updates the limits for subsequent requests. */
   public void updateLimits(ForwardingLimits limits) {
     keyFreshness = limits.keyFreshness();
-    context.budget().limits(limits);
+    context.budget().updateLimits(limits);
   }
 
   /** Forwards a request whose body has been read; returns the listener for its caller's events. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathRepairs.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathRepairs.java
@@ -28,7 +28,7 @@
     boolean mayAbort();
 
     /** Called when an engine of the path was lost. */
-    void lost(TrackedEndpoint engine);
+    void engineLost(TrackedEndpoint engine);
 
     /** Called when the request continues over another path. */
     void repaired();
@@ -72,7 +72,7 @@
     if (!beingReplaced.add(lost)) {
       return;
     }
-    callbacks.lost(lost);
+    callbacks.engineLost(lost);
     if (quarantine.isQuarantined()) {
       startFailover(lost, AttemptFailure.QUARANTINED, cause);
     } else {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PendingRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PendingRequest.java
@@ -11,8 +11,8 @@
     return disconnected;
   }
 
-  void delegateTo(CallerResponse.Listener flow) {
-    delegate = Optional.of(flow);
+  void delegateTo(CallerResponse.Listener listener) {
+    delegate = Optional.of(listener);
   }
 
   @Override
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendBudget.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendBudget.java
@@ -30,12 +30,12 @@
   /** Returns a budget from which nothing has been spent. */
   public static ResendBudget of(ForwardingLimits limits, IntSupplier liveNodes) {
     ResendBudget budget = new ResendBudget(liveNodes);
-    budget.limits(limits);
+    budget.updateLimits(limits);
     return budget;
   }
 
   /** Updates the limits; retries spent before remain spent. */
-  void limits(ForwardingLimits limits) {
+  void updateLimits(ForwardingLimits limits) {
     checkArgument(limits.retryShare() >= 0, "retryShare is negative: %s", limits.retryShare());
     share = limits.retryShare() * USABLE_SHARE_FRACTION;
     fleetReserve = limits.retryReserve() * USABLE_RESERVE_FRACTION;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RunningAttempt.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RunningAttempt.java
@@ -25,8 +25,8 @@
   }
 
   /** Sets the call that carries the attempt. */
-  void setCall(EndpointCall begun) {
-    call = Optional.of(begun);
+  void setCall(EndpointCall newCall) {
+    call = Optional.of(newCall);
   }
 
   /** Returns the endpoint to which the request was sent. */
