--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
@@ -24,7 +24,7 @@
 import org.vaneworks.coordination.fleet.RepathOutcome;
 import org.vaneworks.coordination.forwarding.Attempt;
 import org.vaneworks.coordination.forwarding.CallerRequest;
-import org.vaneworks.coordination.forwarding.EndpointCalls;
+import org.vaneworks.coordination.forwarding.EndpointTransport;
 import org.vaneworks.coordination.forwarding.Forwarder;
 import org.vaneworks.coordination.forwarding.ForwardingLimits;
 import org.vaneworks.coordination.quarantine.SharedQuarantine;
@@ -46,25 +46,25 @@
 import org.vaneworks.tests.placement.Models;
 import org.vaneworks.tests.shared.StoreInMemory;
 
-/** A forwarder under a paused clock; endpoints and callers are played by the test. */
+/** A forwarder on a manually advanced clock; the test plays endpoints and callers. */
 final class ForwardingFixture {
   static final String MODEL = "writer";
   static final String PLAIN = "records";
   static final String KEY = "secret";
 
-  /** When all endpoints started that a test lists. */
+  /** The incarnation of all endpoints that a test registers without another one. */
   static final Incarnation FIRST_START = Incarnation.startedAt(1000);
 
-  /** An attempt that a test answers. */
-  static final class SentAttempt implements EndpointCalls.EndpointCall {
+  /** An attempt whose response the test provides. */
+  static final class SentAttempt implements EndpointTransport.EndpointCall {
     final Attempt attempt;
-    final EndpointCalls.Listener listener;
+    final EndpointTransport.Listener listener;
     boolean arrived = true;
     boolean cancelled;
     boolean discarded;
     boolean paused;
 
-    SentAttempt(Attempt attempt, EndpointCalls.Listener listener) {
+    SentAttempt(Attempt attempt, EndpointTransport.Listener listener) {
       this.attempt = attempt;
       this.listener = listener;
     }
@@ -95,11 +95,11 @@
     }
 
     void head(int status) {
-      listener.head(Head.of(status));
+      listener.head(FakeResponseHead.of(status));
     }
 
     void notRun(int status, Optional<HostPort> obstacle) {
-      listener.head(new Head(status, true, true, obstacle, EndpointStatement.NONE));
+      listener.head(new FakeResponseHead(status, true, true, obstacle, EndpointStatement.NONE));
     }
 
     void event(int id) {
@@ -111,10 +111,10 @@
     }
   }
 
-  record Asked(String id, String host, String path, Optional<String> key, Duration limit)
+  record TestRequest(String id, String host, String path, Optional<String> key, Duration limit)
       implements CallerRequest {
     @Override
-    public Optional<Duration> patience() {
+    public Optional<Duration> callerTimeout() {
       return Optional.of(limit);
     }
 
@@ -129,19 +129,19 @@
     }
   }
 
-  /** Engines that answer reports unless they are dead, and path changes as the test says. */
-  static final class Control implements EngineControl {
-    final List<String> repaths = new ArrayList<>();
+  /** Reports of engines unless they are dead, and outcomes of path changes set by the test. */
+  static final class FakeEngineControl implements EngineControl {
+    final List<String> repathedPaths = new ArrayList<>();
     final List<HostPort> dead = new ArrayList<>();
     final List<HostPort> slow = new ArrayList<>();
-    final List<HostPort> reported = new ArrayList<>();
+    final List<HostPort> probed = new ArrayList<>();
     final Map<HostPort, Incarnation> started = new HashMap<>();
     double pace = 1;
-    RepathOutcome answer = new RepathOutcome(RepathOutcome.Kind.ACCEPTED, Optional.empty());
+    RepathOutcome repathOutcome = new RepathOutcome(RepathOutcome.Kind.ACCEPTED, Optional.empty());
 
     @Override
     public CompletableFuture<EngineReport> report(FleetEndpoint engine, Duration limit) {
-      reported.add(engine.address());
+      probed.add(engine.address());
       return dead.contains(engine.address())
           ? CompletableFuture.failedFuture(new IllegalStateException("no answer"))
           : CompletableFuture.completedFuture(
@@ -163,14 +163,14 @@
     @Override
     public CompletableFuture<RepathOutcome> repath(
         FleetEndpoint first, String requestId, String path) {
-      repaths.add(path);
-      return CompletableFuture.completedFuture(answer);
+      repathedPaths.add(path);
+      return CompletableFuture.completedFuture(repathOutcome);
     }
   }
 
   final PausedExecutor clock = PausedExecutor.create();
   final List<SentAttempt> sent = new ArrayList<>();
-  final Control control = new Control();
+  final FakeEngineControl control = new FakeEngineControl();
   final SimpleMeterRegistry meters = new SimpleMeterRegistry();
   final Fleet fleet;
   final Forwarder forwarder;
@@ -240,12 +240,12 @@
         false);
   }
 
-  /** Lists an engine; the last part of its address is its number. */
+  /** Registers an engine; its number is the last part of its address. */
   FleetEndpoint engine(int number, int from, int to) {
     return engine(number, from, to, FIRST_START);
   }
 
-  /** Lists an engine by the run of its process. */
+  /** Registers an engine with the given incarnation. */
   FleetEndpoint engine(int number, int from, int to, Incarnation run) {
     FleetEndpoint engine =
         new FleetEndpoint(
@@ -263,13 +263,13 @@
     return engine;
   }
 
-  /** Lists an endpoint as started again under its id, with nothing of before. */
-  void startsAgain(FleetEndpoint endpoint) {
+  /** Registers an endpoint as restarted under the same id, without layers. */
+  void restart(FleetEndpoint endpoint) {
     long before = endpoint.incarnation().startedAt().orElse(0);
     relist(endpoint, false, Optional.empty(), Incarnation.startedAt(before + 1000));
   }
 
-  /** Lists an endpoint as one that will end soon. */
+  /** Registers an endpoint as leaving. */
   void announceLeaving(FleetEndpoint endpoint) {
     relist(endpoint, true, endpoint.layers(), endpoint.incarnation());
   }
@@ -293,7 +293,7 @@
             incarnation));
   }
 
-  /** Lists a plain replica. */
+  /** Registers a replica of the plain service. */
   FleetEndpoint replica(int number) {
     FleetEndpoint replica =
         new FleetEndpoint(
@@ -311,18 +311,19 @@
     return replica;
   }
 
-  Got ask(String path) {
-    return ask(path, Optional.of(KEY));
+  RecordedResponse request(String path) {
+    return request(path, Optional.of(KEY));
   }
 
-  Got ask(String path, Optional<String> key) {
-    Got got = new Got();
-    Asked asked = new Asked("q" + sent.size(), "host.example", path, key, Duration.ofSeconds(20));
-    got.flow = forwarder.take(asked, got);
-    return got;
+  RecordedResponse request(String path, Optional<String> key) {
+    RecordedResponse response = new RecordedResponse();
+    TestRequest asked =
+        new TestRequest("q" + sent.size(), "host.example", path, key, Duration.ofSeconds(20));
+    response.listener = forwarder.forward(asked, response);
+    return response;
   }
 
-  SentAttempt last() {
+  SentAttempt lastAttempt() {
     return sent.get(sent.size() - 1);
   }
 
--- /dev/null
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/AttemptFailure.java
@@ -0,0 +1,49 @@
+package org.vaneworks.coordination.forwarding;
+
+/** The reason why an attempt ended without a complete response. */
+enum AttemptFailure {
+  /** The endpoint answered that it did not run the request. */
+  ENDPOINT_REFUSED("endpoint-refused", false),
+  /** The endpoint responded with a server error. */
+  ENDPOINT_ERROR("endpoint-error", false),
+  /** The endpoint refused to resume a stream. */
+  RESUME_REFUSED("resume-refused", false),
+  /** The response belongs to another request. */
+  MISMATCHED_RESPONSE("foreign-answer", false),
+  /** No connection to the endpoint could be opened. */
+  NOT_CONNECTED("not-connected", false),
+  /** The connection was lost. */
+  CONNECTION_LOST("connection-lost", false),
+  /** The endpoint's process restarted. */
+  ENDPOINT_RESTARTED("endpoint-restarted", false),
+  /** The first engine of the path does not respond to probes. */
+  ENGINE_SUSPECTED("engine-suspected", true),
+  /** A later engine was lost, and the first one does not know the request. */
+  REQUEST_UNKNOWN("request-unknown", false),
+  /** A later engine was lost, and the first one accepted no other path. */
+  PATH_LOST("path-lost", true),
+  /** A later engine was lost, and the request is quarantined, so it must not start elsewhere. */
+  QUARANTINED("held-back", true),
+  /** The previous attempt produced data again before its replacement did. */
+  SUPERSEDED("outrun", true),
+  /** The caller's or the route's deadline passed. */
+  DEADLINE_EXCEEDED("time-up", true);
+
+  private final String code;
+  private final boolean endedByNode;
+
+  AttemptFailure(String code, boolean endedByNode) {
+    this.code = code;
+    this.endedByNode = endedByNode;
+  }
+
+  /** Returns the code for logs and metrics. */
+  String code() {
+    return code;
+  }
+
+  /** Returns whether this node ended the attempt while the endpoint had not. */
+  boolean endedByNode() {
+    return endedByNode;
+  }
+}
--- /dev/null
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerDeadlines.java
@@ -0,0 +1,115 @@
+package org.vaneworks.coordination.forwarding;
+
+import static com.google.common.base.Preconditions.checkNotNull;
+
+import com.google.common.collect.Ordering;
+import java.time.Duration;
+import java.util.Optional;
+import org.vaneworks.state.entry.EntryRoute;
+
+/**
+ * Deadlines of one request, and the retry-after time for its caller if it is refused.
+ *
+ * <p>Immutable. Times are those of the executor's clock, in nanoseconds.
+ */
+final class CallerDeadlines {
+  /** Minimum time for which callers wait for the first event of a stream. */
+  private static final Duration MIN_FIRST_EVENT_TIMEOUT = Duration.ofSeconds(2);
+
+  /** First-event timeout as a multiple of the route's objective for the first event. */
+  private static final int OBJECTIVES_PER_TIMEOUT = 4;
+
+  /** First-event timeout as a multiple of the route's objective for pauses between events. */
+  private static final int PAUSES_PER_TIMEOUT = 8;
+
+  /**
+   * Requests are refused this long before their callers give up, so that refusals arrive in time.
+   */
+  private static final Duration REFUSAL_MARGIN = Duration.ofMillis(100);
+
+  /** Minimum retry-after time; reconnecting takes about this long anyway. */
+  private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(100);
+
+  /** Callers only honour a retry-after time of at most their remaining time divided by this. */
+  private static final int MAX_RETRY_AFTER_DIVISOR = 3;
+
+  /**
+   * Smallest jitter factor for the expected wait; the largest one is as much above 1 (0.75 to
+   * 1.25).
+   */
+  private static final double MIN_JITTER_FACTOR = 0.75;
+
+  /** Retries after a backoff are spread over this fraction of its length, after its end. */
+  private static final double BACKOFF_JITTER = 0.25;
+
+  private final EntryRoute route;
+  private final long startedAt;
+  private final Duration timeout;
+
+  private CallerDeadlines(EntryRoute route, long startedAt, Duration timeout) {
+    this.route = route;
+    this.startedAt = startedAt;
+    this.timeout = timeout;
+  }
+
+  /**
+   * Returns the deadlines of a request.
+   *
+   * @param stated the caller's own timeout, if it stated one
+   */
+  static CallerDeadlines of(EntryRoute route, Optional<Duration> stated, long startedAt) {
+    checkNotNull(route);
+    Duration callerTimeout = stated.orElse(route.timeout());
+    Duration timeout =
+        callerTimeout.compareTo(route.timeout()) < 0 ? callerTimeout : route.timeout();
+    return new CallerDeadlines(route, startedAt, timeout);
+  }
+
+  /** Returns the deadline of the request. */
+  long deadline() {
+    return startedAt + timeout.toNanos();
+  }
+
+  /**
+   * Returns the latest time at which the request can be sent and still meet the route's objective.
+   *
+   * @param firstPartTime the usual time from sending a request to the first part of its response
+   */
+  long onTimeUntil(Duration firstPartTime) {
+    return startedAt + route.objective().toNanos() - firstPartTime.toNanos();
+  }
+
+  /** Returns until when the request may wait in the queue. */
+  long waitsUntil(Duration firstPartTime) {
+    long callerGivesUpAt = Math.min(deadline(), startedAt + firstPartTimeout().toNanos());
+    return callerGivesUpAt - REFUSAL_MARGIN.toNanos() - firstPartTime.toNanos();
+  }
+
+  private Duration firstPartTimeout() {
+    if (!route.kind().streamed()) {
+      return timeout;
+    }
+    return Ordering.<Duration>natural()
+        .max(
+            MIN_FIRST_EVENT_TIMEOUT,
+            route.objective().multipliedBy(OBJECTIVES_PER_TIMEOUT),
+            route.pauseObjective().multipliedBy(PAUSES_PER_TIMEOUT));
+  }
+
+  /**
+   * Returns the retry-after time for the caller, with jitter so that callers don't retry all at
+   * once.
+   *
+   * @param expected the expected wait for capacity
+   * @param untilOpen how long all endpoints back off; the result is not shorter
+   * @param draw a number in [0, 1)
+   */
+  Duration retryAfter(Duration expected, Duration untilOpen, long now, double draw) {
+    Duration wait = Ordering.<Duration>natural().max(expected, MIN_RETRY_AFTER);
+    long maxDelay = Math.max(0, deadline() - now) / MAX_RETRY_AFTER_DIVISOR;
+    double jitterFactor = MIN_JITTER_FACTOR + 2 * (1 - MIN_JITTER_FACTOR) * draw;
+    long afterWait = Math.min(maxDelay, (long) (wait.toNanos() * jitterFactor));
+    long afterBackoff = (long) (untilOpen.toNanos() * (1 + BACKOFF_JITTER * draw));
+    return Duration.ofNanos(Math.max(afterWait, afterBackoff));
+  }
+}
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Place.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
@@ -20,17 +20,19 @@
 import org.vaneworks.state.entry.ModelProfile;
 
 /**
- * Where a request runs: a path of engines, or a replica of a plain service; and what it takes
- * there.
+ * Selects the endpoint of a request, either an engine path or a replica of a plain service, and
+ * reserves capacity there.
  *
  * <p>Confined to the node's event loop.
  */
-final class Place {
-  /** An engine that said that it is full gets nothing new for its report's lag. */
-  private static final Duration FULL_PAUSE = Duration.ofMillis(200);
+final class EndpointSelector {
+  /** Time for which an overloaded engine gets no new requests, about the lag of its load report. */
+  private static final Duration OVERLOAD_BACKOFF = Duration.ofMillis(200);
 
-  /** An engine that does not hold what the list says is left alone until the list is newer. */
-  private static final Duration MISPLACED_PAUSE = Duration.ofMillis(800);
+  /**
+   * Time for which an engine that lacks the listed layers is avoided, until the list is updated.
+   */
+  private static final Duration MISDIRECTED_BACKOFF = Duration.ofMillis(800);
 
   private static final int MISDIRECTED = 421;
 
@@ -43,7 +45,7 @@
   private Optional<EnginePath> path = Optional.empty();
   private Optional<TrackedEndpoint> target = Optional.empty();
 
-  Place(
+  EndpointSelector(
       ForwardContext context,
       String service,
       Optional<ModelProfile> model,
@@ -60,120 +62,119 @@
         .orElseGet(() -> new RequestSize(0, 0));
   }
 
-  /** Returns whether engines run the request. */
-  boolean onEngines() {
+  /** Returns whether engines run the request, as opposed to a plain service. */
+  boolean runsOnEngines() {
     return model.isPresent();
   }
 
-  /** Returns the path, while the request has one. */
+  /** Returns the selected path; empty for a plain service or if nothing is selected. */
   Optional<EnginePath> path() {
     return path;
   }
 
-  /** Returns the endpoint that the request is sent to; there must be one. */
+  /** Returns the endpoint to which the request is sent; one must be selected. */
   TrackedEndpoint target() {
     return target.orElseThrow();
   }
 
-  /** Returns whether the request has a place. */
-  boolean isTaken() {
+  /** Returns whether an endpoint is selected. */
+  boolean isSelected() {
     return target.isPresent();
   }
 
-  boolean passes(TrackedEndpoint engine) {
+  boolean uses(TrackedEndpoint engine) {
     return path.isPresent() && path.get().passes(engine);
   }
 
-  /** Returns the engines of the path that are believed dead, the first one first. */
+  /** Returns the suspected engines of the path, in path order. */
   ImmutableList<TrackedEndpoint> suspected() {
     return path.stream()
-        .flatMap(taken -> taken.parts().stream())
+        .flatMap(selection -> selection.parts().stream())
         .map(PathPart::engine)
         .filter(TrackedEndpoint::suspected)
         .collect(ImmutableList.toImmutableList());
   }
 
   /**
-   * Notes that the request failed at the endpoint it was sent to: the next place is elsewhere if
-   * there is another. Whether the endpoint is dead shows a moment later, which is too late for this
-   * request.
+   * Notes that the request failed at the selected endpoint, so that the next selection avoids it if
+   * there is an alternative. Failure detection would be too late for this request.
    */
-  void failedHere() {
+  void noteFailed() {
     target.ifPresent(failed::add);
   }
 
   /**
-   * What a request takes.
+   * A selected endpoint.
    *
-   * @param path empty at a plain service
+   * @param path the engine path; empty for a plain service
    */
-  record Taken(TrackedEndpoint target, Optional<EnginePath> path) {}
+  record Selection(TrackedEndpoint target, Optional<EnginePath> path) {}
 
   /**
-   * Takes a place, and leaves the one that the request has; returns false if there is none now, and
-   * then changes nothing.
+   * Selects an endpoint in place of the present one. Returns false, without any change, if none has
+   * capacity now.
    */
-  boolean take() {
-    Optional<Taken> next = find();
+  boolean select() {
+    Optional<Selection> next = find();
     if (next.isPresent()) {
       release();
-      begin(next.get());
+      assign(next.get());
     }
     return next.isPresent();
   }
 
   /**
-   * Takes a place at another endpoint beside the one that the request has, and returns the latter,
-   * which goes on to be taken; returns empty if there is none now, and then changes nothing.
+   * Selects another endpoint and keeps the reservation at the present one, whose selection is
+   * returned. Returns empty, without any change, if no other endpoint has capacity now.
    */
-  Optional<Taken> takeBeside() {
-    Taken former = new Taken(target(), path);
-    Optional<Taken> next = findElsewhere();
-    next.ifPresent(this::begin);
-    return next.map(taken -> former);
+  Optional<Selection> selectAdditional() {
+    Selection previous = new Selection(target(), path);
+    Optional<Selection> next = findElsewhere();
+    next.ifPresent(this::assign);
+    return next.map(selection -> previous);
   }
 
-  /** Leaves the present place for one that has been taken before, and still is. */
-  void returnTo(Taken former) {
+  /** Releases the present selection and reverts to a previous one that is still reserved. */
+  void revertTo(Selection previous) {
     release();
-    target = Optional.of(former.target());
-    path = former.path();
+    target = Optional.of(previous.target());
+    path = previous.path();
   }
 
-  private Optional<Taken> find() {
+  private Optional<Selection> find() {
     if (model.isEmpty()) {
-      return leastLoaded().map(replica -> new Taken(replica, Optional.empty()));
+      return leastLoaded().map(replica -> new Selection(replica, Optional.empty()));
     }
     Optional<EnginePath> next =
         context.planner().plan(query(), usable(ImmutableList.copyOf(failed)));
     if (next.isEmpty() && !failed.isEmpty()) {
       next = context.planner().plan(query(), usable(ImmutableList.of()));
     }
-    return next.map(found -> new Taken(found.first(), Optional.of(found)));
+    return next.map(found -> new Selection(found.first(), Optional.of(found)));
   }
 
-  private Optional<Taken> findElsewhere() {
+  private Optional<Selection> findElsewhere() {
     if (model.isEmpty()) {
       return find().filter(next -> next.target() != target());
     }
     return context
         .planner()
         .plan(query(), usable(ImmutableList.copyOf(Sets.union(failed, ImmutableSet.of(target())))))
-        .map(found -> new Taken(found.first(), Optional.of(found)));
+        .map(found -> new Selection(found.first(), Optional.of(found)));
   }
 
-  private void begin(Taken next) {
+  private void assign(Selection next) {
     target = Optional.of(next.target());
     path = next.path();
     if (path.isPresent()) {
-      begin(path.get());
+      assign(path.get());
     } else {
-      begin(next.target());
+      assign(next.target());
     }
     tried.add(next.target());
   }
 
-  private void begin(EnginePath chosen) {
+  private void assign(EnginePath chosen) {
     noteSend(chosen.first());
     chosen.parts().stream()
         .map(PathPart::engine)
@@ -182,7 +183,7 @@
     chosen.reserve(size.tokens());
   }
 
-  private void begin(TrackedEndpoint replica) {
+  private void assign(TrackedEndpoint replica) {
     noteSend(replica);
     replica.reserve(0);
   }
@@ -196,69 +197,69 @@
     context.fleet().statements().noteCall(engine, CallPurpose.LATER_PART);
   }
 
-  /** Returns when requests may begin at the service's endpoints if they have room. */
+  /** Returns when the endpoints of the service accept requests again, capacity aside. */
   Openings openings() {
     return model
         .map(profile -> context.fleet().openings(service, profile.layers()))
         .orElseGet(() -> context.fleet().openings(service));
   }
 
-  /** Returns a path with the same first part that avoids some engines. */
-  Optional<EnginePath> another(ImmutableList<TrackedEndpoint> without) {
+  /** Returns an alternative path with the same first part that avoids the given engines. */
+  Optional<EnginePath> alternativePath(ImmutableList<TrackedEndpoint> excluded) {
     PathPart first = path.orElseThrow().parts().get(0);
-    return context.planner().replan(query(), usable(without), first);
+    return context.planner().replan(query(), usable(excluded), first);
   }
 
-  /** Returns the engine of the same service at an address. */
+  /** Returns the engine of the same service at the given address. */
   Optional<TrackedEndpoint> engineAt(HostPort address) {
     return context.fleet().at(service, address);
   }
 
-  /** Leaves the endpoint alone that was in the way of a request, and returns it. */
-  TrackedEndpoint noteObstacle(AnswerHead refused) {
+  /** Avoids the endpoint that prevented the request from running for a while, and returns it. */
+  TrackedEndpoint noteObstacle(ResponseHead refused) {
     TrackedEndpoint obstacle = refused.obstacle().flatMap(this::engineAt).orElseGet(this::target);
     boolean misdirected = refused.status() == MISDIRECTED;
-    Duration pause = misdirected ? MISPLACED_PAUSE : FULL_PAUSE;
+    Duration pause = misdirected ? MISDIRECTED_BACKOFF : OVERLOAD_BACKOFF;
     obstacle.avoidUntil(now() + pause.toNanos());
     if (misdirected && obstacle.endpoint().incarnation().isTold()) {
-      // It may have started again and hold nothing; its report tells so before the list does.
+      // The engine may have restarted without layers; its report shows that before the list does.
       context.health().check(obstacle);
     }
     obstacle.noteShortage(now());
     return obstacle;
   }
 
-  /** Goes on over another path with the same first engine. */
+  /** Switches to another path with the same first engine. */
   void replace(EnginePath next) {
-    EnginePath former = path.orElseThrow();
-    former.release(size.tokens());
+    EnginePath previous = path.orElseThrow();
+    previous.release(size.tokens());
     next.reserve(size.tokens());
     next.parts().stream()
         .map(PathPart::engine)
-        .filter(engine -> !former.passes(engine))
+        .filter(engine -> !previous.passes(engine))
         .forEach(this::noteLaterPart);
     path = Optional.of(next);
   }
 
-  /** Leaves the place. */
+  /** Releases the present selection. */
   void release() {
-    target.ifPresent(taken -> release(new Taken(taken, path)));
+    target.ifPresent(selection -> release(new Selection(selection, path)));
     path = Optional.empty();
     target = Optional.empty();
   }
 
-  /** Leaves a place that was taken beside the present one. */
-  void release(Taken taken) {
-    if (taken.path().isPresent()) {
-      taken.path().get().release(size.tokens());
+  /** Releases the reservation of a previous selection. */
+  void release(Selection selection) {
+    if (selection.path().isPresent()) {
+      selection.path().get().release(size.tokens());
     } else {
-      taken.target().release(0);
+      selection.target().release(0);
     }
   }
 
-  private ImmutableList<TrackedEndpoint> usable(ImmutableList<TrackedEndpoint> without) {
+  private ImmutableList<TrackedEndpoint> usable(ImmutableList<TrackedEndpoint> excluded) {
     return context.fleet().usable(service).stream()
-        .filter(engine -> !without.contains(engine))
+        .filter(engine -> !excluded.contains(engine))
         .collect(ImmutableList.toImmutableList());
   }
 
@@ -270,7 +271,7 @@
     return context.clock().currentTime(NANOSECONDS);
   }
 
-  /** Returns the replica with the fewest requests, those not yet tried first. */
+  /** Returns the replica with the fewest requests; replicas already tried count as fully loaded. */
   private Optional<TrackedEndpoint> leastLoaded() {
     Optional<TrackedEndpoint> best = Optional.empty();
     double bestLoad = Double.MAX_VALUE;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EventSplitter.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EventSplitter.java
@@ -7,30 +7,30 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of server-sent events after its last whole event and remembers that event's id.
+ * Splits a stream of server-sent events after its last complete event and tracks the last event id.
  *
- * <p>An event ends with an empty line. Bytes of an event that is not whole are kept back, so that
- * another run can continue after the last whole one. Not thread-safe.
+ * <p>An event ends with an empty line. Bytes of an incomplete event are buffered, so that another
+ * attempt can resume after the last complete event. Not thread-safe.
  */
 final class EventSplitter {
   private static final byte[] ID_FIELD = {'i', 'd', ':'};
 
   private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
 
-  /** The whole events that came last with an id among them; read only when the id is asked for. */
-  private byte[] lastWithId = {};
+  /** The latest chunk of complete events that contains an id; parsed by {@link #lastId}. */
+  private byte[] lastEventsWithId = {};
 
-  /** Takes bytes in; returns those that complete events, perhaps none. */
-  byte[] take(byte[] bytes) {
-    byte[] all = withPartial(bytes);
-    int end = endOfWholeEvents(all);
-    partial.write(all, end, all.length - end);
-    // An endpoint writes event by event, so most of the time there is nothing to cut.
-    byte[] whole = end == all.length ? all : Arrays.copyOf(all, end);
-    if (startOfLastId(whole) >= 0) {
-      lastWithId = whole;
+  /** Appends bytes; returns the complete events that are available, possibly none. */
+  byte[] append(byte[] bytes) {
+    byte[] pending = withPartial(bytes);
+    int end = endOfCompleteEvents(pending);
+    partial.write(pending, end, pending.length - end);
+    // Endpoints usually write whole events, so the input rarely has to be split.
+    byte[] complete = end == pending.length ? pending : Arrays.copyOf(pending, end);
+    if (startOfLastId(complete) >= 0) {
+      lastEventsWithId = complete;
     }
-    return whole;
+    return complete;
   }
 
   private byte[] withPartial(byte[] bytes) {
@@ -38,54 +38,54 @@
       return bytes;
     }
     partial.writeBytes(bytes);
-    return rest();
+    return takePartial();
   }
 
-  /** Returns the bytes that were kept back, and keeps none. */
-  byte[] rest() {
-    byte[] rest = partial.toByteArray();
+  /** Returns the buffered bytes of an incomplete event and clears the buffer. */
+  byte[] takePartial() {
+    byte[] bytes = partial.toByteArray();
     partial.reset();
-    return rest;
+    return bytes;
   }
 
-  /** Keeps bytes back that {@link #rest} returned, in place of what is kept now. */
-  void keepBack(byte[] bytes) {
+  /** Replaces the buffer with bytes that {@link #takePartial} returned before. */
+  void restorePartial(byte[] bytes) {
     partial.reset();
     partial.writeBytes(bytes);
   }
 
-  /** Returns the id of the last whole event that had one. */
+  /** Returns the id of the last complete event that had one. */
   Optional<String> lastId() {
-    int start = startOfLastId(lastWithId);
+    int start = startOfLastId(lastEventsWithId);
     if (start < 0) {
       return Optional.empty();
     }
     int end = start;
-    while (lastWithId[end] != '\n' && lastWithId[end] != '\r') {
+    while (lastEventsWithId[end] != '\n' && lastEventsWithId[end] != '\r') {
       end++;
     }
-    return Optional.of(new String(lastWithId, start, end - start, UTF_8).strip());
+    return Optional.of(new String(lastEventsWithId, start, end - start, UTF_8).strip());
   }
 
-  private static int endOfWholeEvents(byte[] bytes) {
+  private static int endOfCompleteEvents(byte[] bytes) {
     for (int i = bytes.length - 1; i > 0; i--) {
-      if (bytes[i] == '\n' && (bytes[i - 1] == '\n' || endsInCrLf(bytes, i))) {
+      if (bytes[i] == '\n' && (bytes[i - 1] == '\n' || endsWithCrLf(bytes, i))) {
         return i + 1;
       }
     }
     return 0;
   }
 
-  private static boolean endsInCrLf(byte[] bytes, int i) {
+  private static boolean endsWithCrLf(byte[] bytes, int i) {
     return i >= 3 && bytes[i - 1] == '\r' && bytes[i - 2] == '\n' && bytes[i - 3] == '\r';
   }
 
-  /** Returns where the value of the last line with an id begins, -1 if there is none. */
-  private static int startOfLastId(byte[] whole) {
-    for (int i = whole.length - ID_FIELD.length; i >= 0; i--) {
-      boolean lineBegins = i == 0 || whole[i - 1] == '\n' || whole[i - 1] == '\r';
-      if (lineBegins
-          && Arrays.equals(whole, i, i + ID_FIELD.length, ID_FIELD, 0, ID_FIELD.length)) {
+  /** Returns the index at which the value of the last id field starts, or -1 if there is none. */
+  private static int startOfLastId(byte[] complete) {
+    for (int i = complete.length - ID_FIELD.length; i >= 0; i--) {
+      boolean startsLine = i == 0 || complete[i - 1] == '\n' || complete[i - 1] == '\r';
+      if (startsLine
+          && Arrays.equals(complete, i, i + ID_FIELD.length, ID_FIELD, 0, ID_FIELD.length)) {
         return i + ID_FIELD.length;
       }
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardLog.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardLog.java
@@ -12,16 +12,17 @@
 import org.vaneworks.telemetry.EventLog;
 import org.vaneworks.telemetry.Metric;
 
-/** The log lines and counters of decisions on a request; each line names the request. */
+/** Logs and counts forwarding decisions; each log line names its request. */
 final class ForwardLog {
   private ForwardLog() {}
 
-  static void refused(CallerRequest request, Refusal refusal, Trail trail, Counters counters) {
+  static void refused(
+      CallerRequest request, Refusal refusal, RequestProgress progress, Counters counters) {
     counters.count(Metric.REFUSALS, refusal.reason().code());
     counters.count(Metric.VERDICTS, refusal.verdict().name().toLowerCase(Locale.ROOT));
-    withTrail(
+    logWithProgress(
         Event.REQUEST_REFUSED,
-        trail,
+        progress,
         "request",
         request.id(),
         "reason",
@@ -32,19 +33,19 @@
         refusal.detail());
   }
 
-  /** Writes a line of a request with how far it came. */
-  private static void withTrail(Event event, Trail trail, Object... pairs) {
-    Object[] way = {
+  /** Logs an event of a request together with its progress. */
+  private static void logWithProgress(Event event, RequestProgress progress, Object... pairs) {
+    Object[] progressPairs = {
       "lastSentTo",
-      trail.lastSentTo().map(Object::toString).orElse(""),
+      progress.lastSentTo().map(Object::toString).orElse(""),
       "sends",
-      trail.sends(),
+      progress.sends(),
       "afterMs",
-      trail.sinceArrival().toMillis(),
+      progress.sinceArrival().toMillis(),
       "noProgressMs",
-      trail.sinceProgress().toMillis()
+      progress.sinceProgress().toMillis()
     };
-    EventLog.info(event, ObjectArrays.concat(pairs, way, Object.class));
+    EventLog.info(event, ObjectArrays.concat(pairs, progressPairs, Object.class));
   }
 
   static void sent(CallerRequest request, Attempt attempt, int sends) {
@@ -65,27 +66,27 @@
   }
 
   /**
-   * Notes that a request is sent again.
+   * Logs that a request is sent again.
    *
-   * @param sends how often it was sent before
-   * @param triedAt the endpoint of the attempt that is over
-   * @param afterMillis since the request came
+   * @param sends the number of sends before
+   * @param triedAt the endpoint of the attempt that ended
+   * @param afterMillis the time since the request arrived
    */
   static void sentAgain(
       CallerRequest request,
-      AttemptEnd end,
+      AttemptFailure failure,
       int sends,
       String triedAt,
       long afterMillis,
       Object cause,
       Counters counters) {
-    counters.count(Metric.RETRIES, end.code());
+    counters.count(Metric.RETRIES, failure.code());
     EventLog.info(
         Event.REQUEST_SENT_AGAIN,
         "request",
         request.id(),
         "reason",
-        end.code(),
+        failure.code(),
         "sends",
         sends,
         "triedAt",
@@ -97,17 +98,17 @@
   }
 
   /**
-   * Notes that an endpoint was lost while it had a request.
+   * Logs that an endpoint was lost while it had a request.
    *
-   * @param sinceSent since the request was sent there
-   * @param sincePart since the first part of its answer; empty if there was none
+   * @param sinceSent the time since the request was sent there
+   * @param sinceFirstPart the time since the first part of its response; empty if there was none
    */
   static void lostEndpoint(
       CallerRequest request,
       RequestContent content,
       TrackedEndpoint endpoint,
       Duration sinceSent,
-      Optional<Duration> sincePart) {
+      Optional<Duration> sinceFirstPart) {
     EventLog.info(
         Event.REQUEST_LOST_ENDPOINT,
         "request",
@@ -119,7 +120,7 @@
         "sentMsAgo",
         sinceSent.toMillis(),
         "firstPartMsAgo",
-        sincePart.map(Duration::toMillis).orElse(-1L));
+        sinceFirstPart.map(Duration::toMillis).orElse(-1L));
   }
 
   static void pathChanged(CallerRequest request, String cause, Object outcome, String path) {
@@ -136,49 +137,53 @@
   }
 
   /**
-   * Notes that a request remains at an endpoint that gives no sign of life.
+   * Logs that a request stays at an endpoint that does not respond.
    *
-   * @param end what would have ended the attempt
+   * @param failure the failure that triggered the failover
    * @param denial why there is no other attempt
    */
-  static void stays(
-      CallerRequest request, AttemptEnd end, Denial denial, Trail trail, Counters counters) {
-    counters.count(Metric.STAYS, end.code() + "/" + denial.code());
-    withTrail(
+  static void stayed(
+      CallerRequest request,
+      AttemptFailure failure,
+      ResendDenial denial,
+      RequestProgress progress,
+      Counters counters) {
+    counters.count(Metric.STAYS, failure.code() + "/" + denial.code());
+    logWithProgress(
         Event.REQUEST_STAYS,
-        trail,
+        progress,
         "request",
         request.id(),
         "reason",
-        end.code(),
+        failure.code(),
         "noOther",
         denial.code());
   }
 
   /**
-   * Notes that an answer was broken off after its head had reached the caller.
+   * Logs that a response was aborted after its head had been sent to the caller.
    *
-   * @param end of the last attempt
+   * @param failure the failure of the last attempt
    * @param denial why there is no other attempt
    */
-  static void cut(
+  static void aborted(
       CallerRequest request,
-      AttemptEnd end,
-      Denial denial,
+      AttemptFailure failure,
+      ResendDenial denial,
       String cause,
-      Trail trail,
+      RequestProgress progress,
       Counters counters) {
     counters.count(Metric.REFUSALS, "cut");
-    counters.count(Metric.CUTS, end.code() + "/" + denial.code());
-    withTrail(
+    counters.count(Metric.CUTS, failure.code() + "/" + denial.code());
+    logWithProgress(
         Event.STREAM_FAILED,
-        trail,
+        progress,
         "request",
         request.id(),
         "reason",
-        end.code(),
+        failure.code(),
         "endedBy",
-        end.endedByNode() ? "node" : "endpoint",
+        failure.endedByNode() ? "node" : "endpoint",
         "noOther",
         denial.code(),
         "cause",
--- /dev/null
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
@@ -0,0 +1,907 @@
+package org.vaneworks.coordination.forwarding;
+
+import static java.util.concurrent.TimeUnit.NANOSECONDS;
+
+import io.servicetalk.concurrent.Cancellable;
+import java.time.Duration;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.vaneworks.coordination.fleet.NobodyListensException;
+import org.vaneworks.coordination.fleet.Openings;
+import org.vaneworks.coordination.fleet.TrackedEndpoint;
+import org.vaneworks.coordination.forwarding.Failover.Trigger;
+import org.vaneworks.coordination.relay.EnginePath;
+import org.vaneworks.state.Reason;
+import org.vaneworks.state.Refusal;
+import org.vaneworks.state.RequestContent;
+import org.vaneworks.state.Verdict;
+import org.vaneworks.state.entry.Caller;
+import org.vaneworks.state.entry.EntryConfiguration;
+import org.vaneworks.state.entry.EntryRoute;
+import org.vaneworks.state.entry.ServiceProfile;
+import org.vaneworks.telemetry.Metric;
+
+/**
+ * Forwards one request to an endpoint and passes the response back.
+ *
+ * <p>At most one attempt is current at any time; events of other attempts are ignored, except that
+ * a previous attempt becomes current again if it responds before its replacement does. Confined to
+ * the node's event loop.
+ */
+final class ForwardedRequest implements CallerResponse.Listener {
+  /** Time for which a plain endpoint gets no new requests after its connection failed. */
+  private static final Duration FAILED_REPLICA_PAUSE = Duration.ofMillis(500);
+
+  /** Time to resume a stream in; callers give up after two seconds without an event. */
+  private static final Duration RESUME_TIMEOUT = Duration.ofMillis(1500);
+
+  /**
+   * Time within which a crashed endpoint can be told apart from a lost connection. Waiting for it
+   * saves an endpoint from a request that crashes endpoints.
+   */
+  private static final Duration FAILURE_DETECTION_DELAY = Duration.ofMillis(100);
+
+  private static final int SERVER_ERROR = 500;
+  private static final int MISDIRECTED = 421;
+
+  private final ForwardContext context;
+  private final EntryRoute route;
+  private final Optional<Caller> caller;
+  private final CallerRequest request;
+  private final CallerResponse response;
+  private final Consumer<ForwardedRequest> onDone;
+  private final String service;
+  private final EndpointSelector selector;
+  private final ProgressMonitor progress;
+  private final long startedAt;
+  private final CallerDeadlines deadlines;
+  private final long deadline;
+  private final ResponseMetrics metrics;
+  private final CapacityQueue queue;
+  private final CapacityQueue.Waiter waiter = new QueueWaiter();
+  private final EventSplitter splitter = new EventSplitter();
+  private final RequestQuarantine quarantine;
+  private final Failover failover;
+  private final PathRepairs repairs;
+
+  /** The current attempt, if one is in progress. */
+  private Optional<RunningAttempt> attempt = Optional.empty();
+
+  /** The attempt that is abandoned as soon as the current one gets a response. */
+  private Optional<PreviousAttempt> previous = Optional.empty();
+
+  private Optional<TrackedEndpoint> lastSentTo = Optional.empty();
+  private int sends;
+  private int runs;
+  private AttemptFailure lastFailure = AttemptFailure.NOT_CONNECTED;
+  private boolean firstPartReceived;
+  private boolean headSent;
+  private boolean queued;
+  private boolean done;
+  private Cancellable deadlineTimer = () -> {};
+
+  private ForwardedRequest(
+      ForwardContext context,
+      EntryConfiguration configuration,
+      EntryRoute route,
+      Optional<Caller> caller,
+      CallerRequest request,
+      CallerResponse response,
+      Consumer<ForwardedRequest> onDone) {
+    this.context = context;
+    this.route = route;
+    this.caller = caller;
+    this.request = request;
+    this.response = response;
+    this.onDone = onDone;
+    this.service = route.service(context.random().nextDouble());
+    this.selector =
+        new EndpointSelector(
+            context,
+            service,
+            configuration.service(service).flatMap(ServiceProfile::model),
+            request.size());
+    this.quarantine = new RequestQuarantine(context, request, caller.map(Caller::workspace));
+    this.queue = context.queues().of(service);
+    this.progress = new ProgressMonitor(context, selector, route.pauseObjective(), this::onStall);
+    this.failover = new Failover(context.clock(), new FailoverCallbacks());
+    this.repairs = new PathRepairs(context, request, selector, quarantine, new RepairCallbacks());
+    this.startedAt = now();
+    this.deadlines = CallerDeadlines.of(route, request.callerTimeout(), startedAt);
+    this.deadline = deadlines.deadline();
+    this.metrics = new ResponseMetrics(context.counters(), route.kind().streamed(), startedAt);
+  }
+
+  static ForwardedRequest create(
+      ForwardContext context,
+      EntryConfiguration configuration,
+      EntryRoute route,
+      Optional<Caller> caller,
+      CallerRequest request,
+      CallerResponse response,
+      Consumer<ForwardedRequest> onDone) {
+    return new ForwardedRequest(context, configuration, route, caller, request, response, onDone);
+  }
+
+  void start() {
+    deadlineTimer =
+        context.clock().schedule(this::onDeadline, Math.max(0, deadline - startedAt), NANOSECONDS);
+    context.budget().earn();
+    if (quarantine.isQuarantined()) {
+      refuseQuarantined();
+      return;
+    }
+    acquireEndpoint();
+  }
+
+  /** Starts at an endpoint, or waits for capacity while a start in time can be expected. */
+  private void acquireEndpoint() {
+    if (!done && !queued) {
+      queued = true;
+      queue.join(waiter);
+    }
+  }
+
+  private void leaveQueue() {
+    queued = false;
+    queue.leave(waiter);
+  }
+
+  /** This request while it waits for capacity. */
+  private final class QueueWaiter implements CapacityQueue.Waiter {
+    @Override
+    public boolean start() {
+      queued = false;
+      if (failover.isActive() ? failOver() : startAttempt()) {
+        return true;
+      }
+      queued = true;
+      return false;
+    }
+
+    @Override
+    public Openings openings() {
+      return selector.openings();
+    }
+
+    @Override
+    public boolean mayStart() {
+      return !failover.isActive() || denialIfAbandoned().isEmpty();
+    }
+
+    @Override
+    public void refuse() {
+      queued = false;
+      if (failover.isActive()) {
+        failover.capacityRefused();
+        return;
+      }
+      giveUp(
+          Verdict.NOT_RUN,
+          ResendDenial.NO_CAPACITY,
+          "no endpoint of " + service + " has room in time");
+    }
+
+    @Override
+    public boolean continues() {
+      return headSent;
+    }
+
+    @Override
+    public long onTimeUntil() {
+      return deadlines.onTimeUntil(queue.firstPartTime());
+    }
+
+    @Override
+    public long waitsUntil() {
+      if (headSent) {
+        return progress.lastProgress() + RESUME_TIMEOUT.toNanos();
+      }
+      return deadlines.waitsUntil(queue.firstPartTime());
+    }
+
+    @Override
+    public int priority() {
+      return caller
+          .map(known -> known.priority().orElse(route.priority()))
+          .orElse(route.priority());
+    }
+  }
+
+  /**
+   * An attempt that continues while its replacement waits for a response.
+   *
+   * @param partOfEvent the bytes of an incomplete event
+   * @param trigger why the attempt is to be abandoned
+   */
+  private record PreviousAttempt(
+      RunningAttempt attempt,
+      EndpointSelector.Selection selection,
+      byte[] partOfEvent,
+      Trigger trigger) {}
+
+  private boolean startAttempt() {
+    if (!selector.select()) {
+      return false;
+    }
+    send();
+    return true;
+  }
+
+  private void send() {
+    sends++;
+    quarantine.noteSent();
+    RunningAttempt running = new RunningAttempt(selector.target(), now());
+    attempt = Optional.of(running);
+    lastSentTo = Optional.of(running.endpoint());
+    Attempt sent =
+        new Attempt(
+            request,
+            running.endpoint().endpoint(),
+            selector.path().map(EnginePath::text),
+            Duration.ofNanos(Math.max(0, deadline - now())),
+            caller.map(Caller::workspace),
+            splitter.lastId());
+    ForwardLog.sent(request, sent, sends);
+    progress.attemptStarted(headSent);
+    // The attempt may have ended when send returns, and another one may be in progress.
+    running.setCall(context.transport().send(sent, new AttemptListener(running)));
+  }
+
+  /** Handles the events of one attempt; ignores them once another attempt is current. */
+  private final class AttemptListener implements EndpointTransport.Listener {
+    private final RunningAttempt running;
+
+    AttemptListener(RunningAttempt running) {
+      this.running = running;
+    }
+
+    /** Returns whether this attempt is current; a previous attempt becomes current again. */
+    private boolean isOrBecomesCurrent() {
+      if (isPrevious(running)) {
+        supersedeReplacement();
+      }
+      return isCurrent(running);
+    }
+
+    @Override
+    public void head(ResponseHead head) {
+      noteStatement(head, running.endpoint());
+      if (isOrBecomesCurrent()) {
+        progress.headReceived();
+        failover.stop();
+        ForwardedRequest.this.head(head, running);
+      }
+    }
+
+    @Override
+    public void data(byte[] bytes) {
+      if (isOrBecomesCurrent()) {
+        progress.partReceived();
+        failover.stop();
+        notePart(running);
+        passOn(bytes, running);
+      }
+    }
+
+    @Override
+    public void end() {
+      if (isOrBecomesCurrent()) {
+        running.endpoint().noteSuccess();
+        finish();
+      }
+    }
+
+    @Override
+    public void failed(boolean neverSent, Throwable cause) {
+      if (isPrevious(running)) {
+        previousFailed(cause);
+      } else if (isOrBecomesCurrent()) {
+        ForwardedRequest.this.failed(neverSent, cause, running.endpoint());
+      }
+    }
+  }
+
+  private void notePart(RunningAttempt running) {
+    running.notePart(now());
+    if (!firstPartReceived && sends == 1) {
+      queue.recordFirstPartTime(now() - running.sentAt());
+    }
+    firstPartReceived = true;
+    metrics.recordPart(now());
+  }
+
+  /** Records the endpoint's statement, unless another endpoint may have responded in its place. */
+  private void noteStatement(ResponseHead head, TrackedEndpoint endpoint) {
+    if (head.matches() && head.status() != MISDIRECTED) {
+      context.fleet().statements().answered(endpoint, head.statement());
+    }
+  }
+
+  private void head(ResponseHead head, RunningAttempt running) {
+    if (!head.matches()) {
+      running.cancel();
+      attemptEnded(
+          Verdict.MAY_HAVE_RUN, AttemptFailure.MISMATCHED_RESPONSE, "an answer to another request");
+    } else if (head.notRun()) {
+      running.discard();
+      TrackedEndpoint obstacle = selector.noteObstacle(head);
+      String cause = "status " + head.status() + " for want of " + obstacle;
+      attemptEnded(Verdict.NOT_RUN, AttemptFailure.ENDPOINT_REFUSED, cause);
+    } else if (head.status() >= SERVER_ERROR && (headSent || route.kind().idempotent())) {
+      serverError(head, running);
+    } else if (headSent) {
+      resumed(head, running);
+    } else {
+      headSent = true;
+      response.head(head);
+    }
+  }
+
+  private void serverError(ResponseHead head, RunningAttempt running) {
+    boolean retry = !headSent && resendDenial(Verdict.RAN, runs + 1).isEmpty();
+    if (retry || headSent) {
+      running.discard();
+      attemptEnded(Verdict.RAN, AttemptFailure.ENDPOINT_ERROR, "status " + head.status());
+    } else {
+      headSent = true;
+      response.head(head);
+    }
+  }
+
+  /** The caller has the head of the first attempt already; only events follow. */
+  private void resumed(ResponseHead head, RunningAttempt running) {
+    if (head.success()) {
+      abandonPrevious();
+      return;
+    }
+    running.discard();
+    attemptEnded(Verdict.RAN, AttemptFailure.RESUME_REFUSED, "status " + head.status());
+  }
+
+  private void passOn(byte[] bytes, RunningAttempt running) {
+    byte[] whole = route.kind().streamed() ? splitter.append(bytes) : bytes;
+    if (whole.length > 0 && !response.data(whole)) {
+      running.pause();
+    }
+  }
+
+  @Override
+  public void drained() {
+    if (!done) {
+      attempt.ifPresent(RunningAttempt::resume);
+    }
+  }
+
+  private void finish() {
+    quarantine.noteCompleted();
+    byte[] partialEvent = splitter.takePartial();
+    if (partialEvent.length > 0) {
+      response.data(partialEvent);
+    }
+    close();
+    metrics.recordCompletion(now());
+    response.end();
+  }
+
+  private void failed(boolean neverSent, Throwable cause, TrackedEndpoint endpoint) {
+    selector.noteFailed();
+    if (!neverSent) {
+      noteLost(endpoint);
+    }
+    noteFailure(cause, endpoint);
+    if (!selector.runsOnEngines() && (endpoint.noteFailure() > 1 || neverSent)) {
+      endpoint.avoidUntil(now() + FAILED_REPLICA_PAUSE.toNanos());
+    }
+    attemptEnded(
+        neverSent ? Verdict.NOT_RUN : Verdict.MAY_HAVE_RUN,
+        neverSent ? AttemptFailure.NOT_CONNECTED : AttemptFailure.CONNECTION_LOST,
+        String.valueOf(cause));
+  }
+
+  private void noteFailure(Throwable cause, TrackedEndpoint endpoint) {
+    if (cause instanceof NobodyListensException) {
+      context.fleet().noteNobodyListens(endpoint);
+    }
+    if (selector.runsOnEngines()) {
+      context.health().checkAfterLoss(endpoint);
+    }
+  }
+
+  /** Retries or fails the request after an attempt that ended without a complete response. */
+  private void attemptEnded(Verdict verdict, AttemptFailure failure, String cause) {
+    String triedAt = selector.target().toString();
+    String detail = closeAttempt(verdict, failure, cause);
+    if (previous.isPresent()) {
+      fallBackToPrevious(verdict);
+      return;
+    }
+    selector.release();
+    Optional<ResendDenial> denial = denial(verdict, runs);
+    if (denial.isEmpty() && !context.budget().spend()) {
+      denial = Optional.of(ResendDenial.BUDGET_EXHAUSTED);
+    }
+    if (denial.isPresent()) {
+      giveUp(verdict, denial.get(), failure.code() + ": " + cause);
+      return;
+    }
+    logSentAgain(triedAt, failure, detail);
+    retry(verdict);
+  }
+
+  /**
+   * Cleans up after an attempt; returns the cause, including whether a partial event was dropped.
+   */
+  private String closeAttempt(Verdict verdict, AttemptFailure failure, String cause) {
+    if (verdict != Verdict.NOT_RUN) {
+      runs++;
+    }
+    attempt = Optional.empty();
+    lastFailure = failure;
+    repairs.attemptEnded();
+    failover.stop();
+    return splitter.takePartial().length == 0 ? cause : cause + ", partial event dropped";
+  }
+
+  private void logSentAgain(String triedAt, AttemptFailure failure, String detail) {
+    long millis = NANOSECONDS.toMillis(now() - startedAt);
+    ForwardLog.sentAgain(request, failure, sends, triedAt, millis, detail, context.counters());
+  }
+
+  /** Acquires another endpoint, after a delay if this loss may quarantine the request. */
+  private void retry(Verdict verdict) {
+    if (verdict == Verdict.NOT_RUN || !quarantine.isOneLossShort()) {
+      acquireEndpoint();
+      return;
+    }
+    context
+        .clock()
+        .schedule(
+            this::acquireEndpointIfUnassigned, FAILURE_DETECTION_DELAY.toNanos(), NANOSECONDS);
+  }
+
+  private void acquireEndpointIfUnassigned() {
+    // If the endpoint crashed, the request has been quarantined and refused in the meantime.
+    if (!done && !selector.isSelected()) {
+      acquireEndpoint();
+    }
+  }
+
+  /** Returns why the request may not be sent again, regardless of retry budget and capacity. */
+  private Optional<ResendDenial> denial(Verdict verdict, int runsSoFar) {
+    if (headSent && !(route.kind().idempotent() && route.kind().streamed())) {
+      return Optional.of(ResendDenial.NOT_RESUMABLE);
+    }
+    if (quarantine.isQuarantined()) {
+      return Optional.of(ResendDenial.QUARANTINED);
+    }
+    return resendDenial(verdict, runsSoFar);
+  }
+
+  private Optional<ResendDenial> resendDenial(Verdict verdict, int runsSoFar) {
+    if (now() >= deadline) {
+      return Optional.of(ResendDenial.DEADLINE_EXCEEDED);
+    }
+    return ResendRule.denial(route.kind(), verdict, runsSoFar, route.attempts(), sends);
+  }
+
+  private void giveUp(Verdict lastVerdict, ResendDenial denial, String detail) {
+    if (headSent) {
+      close();
+      ForwardLog.aborted(
+          request, lastFailure, denial, detail, requestProgress(), context.counters());
+      response.abort();
+      return;
+    }
+    Refusal refusal;
+    if (runs == 0 && lastVerdict == Verdict.NOT_RUN) {
+      Reason reason =
+          denial == ResendDenial.NO_CAPACITY ? Reason.NO_ENDPOINT : Reason.ENDPOINT_OVERLOADED;
+      refusal = Refusal.before(reason, detail).withRetryAfter(retryAfter());
+    } else {
+      refusal = Refusal.mayHaveRun(Reason.ENDPOINT_LOST, detail);
+    }
+    close();
+    refuse(refusal);
+  }
+
+  private RequestProgress requestProgress() {
+    long progressAt = sends == 0 ? startedAt : progress.lastProgress();
+    return new RequestProgress(
+        lastSentTo,
+        sends,
+        Duration.ofNanos(now() - startedAt),
+        Duration.ofNanos(now() - progressAt));
+  }
+
+  private Duration retryAfter() {
+    Duration untilOpen = selector.openings().untilFirst(now());
+    return deadlines.retryAfter(
+        queue.expectedWait(), untilOpen, now(), context.random().nextDouble());
+  }
+
+  private void onDeadline() {
+    if (done) {
+      return;
+    }
+    boolean mayRunNow = attempt.filter(RunningAttempt::mayHaveArrived).isPresent();
+    attempt.ifPresent(RunningAttempt::cancel);
+    if (headSent) {
+      lastFailure = AttemptFailure.DEADLINE_EXCEEDED;
+      giveUp(Verdict.RAN, ResendDenial.DEADLINE_EXCEEDED, "the time limit passed");
+      return;
+    }
+    close();
+    Refusal refusal =
+        runs == 0 && !mayRunNow
+            ? Refusal.before(Reason.NOT_STARTED_IN_TIME, "no place").withRetryAfter(retryAfter())
+            : Refusal.mayHaveRun(Reason.DEADLINE, "the time limit passed");
+    refuse(refusal);
+  }
+
+  @Override
+  public void disconnected() {
+    if (done) {
+      return;
+    }
+    attempt.ifPresent(RunningAttempt::cancel);
+    context.counters().count(Metric.REFUSALS, Reason.CALLER_GONE.code());
+    close();
+  }
+
+  private void close() {
+    done = true;
+    cancelPrevious();
+    selector.release();
+    deadlineTimer.cancel();
+    progress.stop();
+    leaveQueue();
+    onDone.accept(this);
+  }
+
+  /** Migrates from an engine that is about to stop, unless it is the first one of the path. */
+  void engineLeaving(TrackedEndpoint engine) {
+    if (uses(engine) && selector.target() != engine) {
+      repairs.migrateFrom(engine);
+    }
+  }
+
+  /** Replaces a suspected engine, unless recent progress of the response shows that it is alive. */
+  void engineSuspected(TrackedEndpoint engine) {
+    if (!uses(engine)) {
+      return;
+    }
+    boolean delivers = headSent && progress.hasRecentProgress();
+    if (engine.processGone() || !delivers) {
+      bypass(engine);
+    }
+  }
+
+  /** Stops a failover from an engine that responds again. */
+  void engineRecovered(TrackedEndpoint engine) {
+    failover.engineRecovered(engine);
+  }
+
+  private void bypass(TrackedEndpoint engine) {
+    if (selector.target() != engine) {
+      repairs.bypass(engine, "lost " + engine);
+    } else if (mayAbort()) {
+      startFailover(AttemptFailure.ENGINE_SUSPECTED, engine, engine.toString());
+    }
+  }
+
+  /** Returns whether the attempt may be aborted without losing the request. */
+  private boolean mayAbort() {
+    // An engine is often known to be dead before connecting to it times out.
+    return route.kind().idempotent() || !running().mayHaveArrived();
+  }
+
+  /** Replaces an endpoint whose process has ended and which therefore can't respond any more. */
+  void endpointEnded(TrackedEndpoint endpoint) {
+    if (done || attempt.isEmpty()) {
+      return;
+    }
+    if (previous.filter(earlier -> earlier.attempt().endpoint() == endpoint).isPresent()) {
+      abandonPrevious();
+    }
+    if (selector.target() == endpoint) {
+      abandonEndpoint(AttemptFailure.ENDPOINT_RESTARTED, endpoint.toString());
+    } else if (selector.uses(endpoint)) {
+      repairs.bypass(endpoint, "ended " + endpoint);
+    }
+  }
+
+  private boolean uses(TrackedEndpoint engine) {
+    return !done && selector.uses(engine);
+  }
+
+  /** Operations for path repairs. */
+  private final class RepairCallbacks implements PathRepairs.Callbacks {
+    @Override
+    public RunningAttempt running() {
+      return ForwardedRequest.this.running();
+    }
+
+    @Override
+    public boolean isCurrent(RunningAttempt candidate) {
+      return ForwardedRequest.this.isCurrent(candidate);
+    }
+
+    @Override
+    public boolean mayAbort() {
+      return ForwardedRequest.this.mayAbort();
+    }
+
+    @Override
+    public void engineLost(TrackedEndpoint engine) {
+      recordDetectionTime();
+      noteLost(engine);
+    }
+
+    @Override
+    public void repaired() {
+      progress.reset();
+      failover.stop();
+      quarantine.noteSent();
+    }
+
+    @Override
+    public void failOverFrom(TrackedEndpoint lost, AttemptFailure failure, String cause) {
+      // Even if the engine has ended: an unanswered path change may have removed it from the path.
+      startFailover(failure, lost, cause);
+    }
+  }
+
+  private void startFailover(AttemptFailure failure, TrackedEndpoint unresponsive, String cause) {
+    if (failover.isActive()) {
+      return;
+    }
+    recordDetectionTime();
+    Duration wait = Duration.ZERO;
+    if (running().mayHaveArrived() && quarantine.isOneLossShort()) {
+      noteLost(selector.target());
+      wait = FAILURE_DETECTION_DELAY;
+    }
+    failover.start(new Trigger(failure, unresponsive, cause), wait);
+  }
+
+  /** Operations for failover. */
+  private final class FailoverCallbacks implements Failover.Callbacks {
+    @Override
+    public Optional<ResendDenial> denialIfAbandoned() {
+      return ForwardedRequest.this.denialIfAbandoned();
+    }
+
+    @Override
+    public void acquireEndpoint() {
+      ForwardedRequest.this.acquireEndpoint();
+    }
+
+    @Override
+    public void leaveQueue() {
+      ForwardedRequest.this.leaveQueue();
+    }
+
+    @Override
+    public void denied(Trigger trigger, ResendDenial denial) {
+      stayOrFail(trigger, denial);
+    }
+  }
+
+  private Optional<ResendDenial> denialIfAbandoned() {
+    Verdict verdict = running().verdictIfAbandoned();
+    Optional<ResendDenial> denial = denial(verdict, verdict == Verdict.NOT_RUN ? runs : runs + 1);
+    boolean exhausted = denial.isEmpty() && !context.budget().canSpend();
+    return exhausted ? Optional.of(ResendDenial.BUDGET_EXHAUSTED) : denial;
+  }
+
+  /** Replaces the attempt by one at another endpoint, if one has capacity now. */
+  private boolean failOver() {
+    boolean delivers = headSent && running().mayHaveArrived() && previous.isEmpty();
+    if (!delivers) {
+      return replaceAttempt();
+    }
+    boolean unknown = failover.trigger().failure() == AttemptFailure.REQUEST_UNKNOWN;
+    return startConcurrentAttempt() || (unknown && replaceAttempt());
+  }
+
+  private boolean replaceAttempt() {
+    Trigger trigger = failover.trigger();
+    TrackedEndpoint endpoint = selector.target();
+    if (!selector.select()) {
+      return false;
+    }
+    context.budget().spend();
+    String detail = abortAttempt(trigger, endpoint);
+    logSentAgain(endpoint.toString(), trigger.failure(), detail);
+    send();
+    return true;
+  }
+
+  /** Starts a second attempt elsewhere and keeps the present one, as the new one may be refused. */
+  private boolean startConcurrentAttempt() {
+    Optional<EndpointSelector.Selection> present = selector.selectAdditional();
+    if (present.isEmpty()) {
+      return false;
+    }
+    context.budget().spend();
+    Trigger trigger = failover.trigger();
+    previous =
+        Optional.of(new PreviousAttempt(running(), present.get(), splitter.takePartial(), trigger));
+    closeAttempt(running().verdictIfAbandoned(), trigger.failure(), trigger.cause());
+    logSentAgain(present.get().target().toString(), trigger.failure(), trigger.cause());
+    send();
+    return true;
+  }
+
+  /** Makes the previous attempt current again and cancels its replacement. */
+  private void supersedeReplacement() {
+    Verdict verdict = running().verdictIfAbandoned();
+    running().cancel();
+    closeAttempt(verdict, AttemptFailure.SUPERSEDED, "the previous endpoint responded");
+    context.counters().count(Metric.DROPPED_ANSWERS, AttemptFailure.SUPERSEDED.code());
+    restorePrevious();
+  }
+
+  /** Continues the previous attempt after its replacement failed, and retries the failover. */
+  private void fallBackToPrevious(Verdict verdict) {
+    Trigger trigger = restorePrevious().trigger();
+    boolean lost = trigger.unresponsive().suspected() || trigger.unresponsive().hasEnded();
+    if (lost) {
+      Duration wait =
+          verdict == Verdict.NOT_RUN || !quarantine.isOneLossShort()
+              ? Duration.ZERO
+              : FAILURE_DETECTION_DELAY;
+      failover.start(trigger, wait);
+    }
+  }
+
+  private PreviousAttempt restorePrevious() {
+    PreviousAttempt resumed = previous.orElseThrow();
+    previous = Optional.empty();
+    attempt = Optional.of(resumed.attempt());
+    runs--;
+    selector.revertTo(resumed.selection());
+    splitter.restorePartial(resumed.partOfEvent());
+    progress.previousResumed();
+    resumed.attempt().resume();
+    return resumed;
+  }
+
+  /** Abandons the previous attempt, as its replacement has a response. */
+  private void abandonPrevious() {
+    previous.ifPresent(
+        abandoned -> {
+          if (abandoned.attempt().mayHaveArrived()) {
+            noteLost(abandoned.attempt(), abandoned.attempt().endpoint());
+          }
+          cancelPrevious();
+        });
+  }
+
+  private void cancelPrevious() {
+    previous.ifPresent(
+        abandoned -> {
+          abandoned.attempt().cancel();
+          selector.release(abandoned.selection());
+        });
+    previous = Optional.empty();
+  }
+
+  private void previousFailed(Throwable cause) {
+    RunningAttempt failed = previous.orElseThrow().attempt();
+    noteLost(failed, failed.endpoint());
+    cancelPrevious();
+    noteFailure(cause, failed.endpoint());
+  }
+
+  private boolean isPrevious(RunningAttempt candidate) {
+    return !done && previous.filter(earlier -> earlier.attempt() == candidate).isPresent();
+  }
+
+  /** Aborts the attempt; returns the cause, including whether a partial event was dropped. */
+  private String abortAttempt(Trigger trigger, TrackedEndpoint endpoint) {
+    Verdict verdict = running().verdictIfAbandoned();
+    if (verdict == Verdict.MAY_HAVE_RUN) {
+      noteLost(endpoint);
+    }
+    running().cancel();
+    return closeAttempt(verdict, trigger.failure(), trigger.cause());
+  }
+
+  /**
+   * Stays at an endpoint that does not respond, if the attempt can't be aborted without loss.
+   *
+   * <p>Otherwise, a caller that has no part of the response yet is refused at once, so that it can
+   * retry.
+   */
+  private void stayOrFail(Trigger trigger, ResendDenial denial) {
+    if (headSent || !mayAbort()) {
+      failover.runOncePerFailover(
+          () ->
+              ForwardLog.stayed(
+                  request, trigger.failure(), denial, requestProgress(), context.counters()));
+      return;
+    }
+    Verdict verdict = running().verdictIfAbandoned();
+    abortAttempt(trigger, selector.target());
+    selector.release();
+    giveUp(verdict, denial, trigger.failure().code() + ": " + trigger.cause());
+  }
+
+  private RunningAttempt running() {
+    return attempt.orElseThrow();
+  }
+
+  private boolean isCurrent(RunningAttempt candidate) {
+    return !done && attempt.filter(present -> present == candidate).isPresent();
+  }
+
+  /** Retries or starts a failover for a stalled request. */
+  private void onStall() {
+    if (done || attempt.isEmpty()) {
+      return;
+    }
+    if (failover.isActive()) {
+      failover.retry();
+      return;
+    }
+    for (TrackedEndpoint engine : selector.suspected()) {
+      // Replacing one engine may have changed the path.
+      if (!failover.isActive() && uses(engine)) {
+        bypass(engine);
+      }
+    }
+  }
+
+  /** Aborts the attempt; whether the request is sent again depends on what may have run. */
+  private void abandonEndpoint(AttemptFailure failure, String cause) {
+    Verdict verdict = running().verdictIfAbandoned();
+    if (verdict == Verdict.MAY_HAVE_RUN) {
+      noteLost(selector.target());
+    }
+    running().cancel();
+    attemptEnded(verdict, failure, cause);
+  }
+
+  private void recordDetectionTime() {
+    Duration silence = Duration.ofNanos(now() - progress.lastProgress());
+    context.counters().record(Metric.DETECTION_TIME, silence);
+  }
+
+  private void noteLost(TrackedEndpoint endpoint) {
+    noteLost(running(), endpoint);
+  }
+
+  /** Notes the loss of an endpoint that has the attempt or is on its path. */
+  private void noteLost(RunningAttempt affected, TrackedEndpoint endpoint) {
+    long now = now();
+    Duration sinceSent = Duration.ofNanos(now - affected.sentAt());
+    quarantine.noteLost(endpoint, sinceSent, affected.sinceFirstPart(now));
+  }
+
+  /** Called when requests of a content are quarantined: refuses this one if it is waiting. */
+  void quarantined(RequestContent content) {
+    if (!done && !selector.isSelected() && quarantine.hasContent(content)) {
+      refuseQuarantined();
+    }
+  }
+
+  private void refuseQuarantined() {
+    if (headSent || runs > 0) {
+      giveUp(Verdict.MAY_HAVE_RUN, ResendDenial.QUARANTINED, "held back");
+      return;
+    }
+    close();
+    refuse(quarantine.refusal());
+  }
+
+  private void refuse(Refusal refusal) {
+    ForwardLog.refused(request, refusal, requestProgress(), context.counters());
+    response.refuse(refusal);
+  }
+
+  private long now() {
+    return context.clock().currentTime(NANOSECONDS);
+  }
+}
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
@@ -27,25 +27,28 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.telemetry.Metric;
 
-/** Takes requests in and forwards those that the configuration allows. */
+/** Admits requests according to the configuration and forwards them to endpoints. */
 public final class Forwarder {
-  /** A caller that comes back on a new connection reaches another node, which may serve at once. */
-  private static final Duration COME_BACK_SOON = Duration.ofMillis(100);
+  /** Retry-after time; short, as a new connection may reach another node that can serve at once. */
+  private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
-  /** An engine that announces its end goes on for two seconds or more. */
-  private static final Duration MOVE_OFF = Duration.ofMillis(800);
+  /**
+   * Delay before requests leave an engine that announced to stop; it runs two more seconds at
+   * least.
+   */
+  private static final Duration MIGRATION_DELAY = Duration.ofMillis(800);
 
-  /** How long and how often a request waits for the first configuration after a start. */
-  private static final Duration START_WAIT = Duration.ofMillis(400);
+  /** Maximum time for which a request waits for the first configuration after a start. */
+  private static final Duration CONFIGURATION_TIMEOUT = Duration.ofMillis(400);
 
-  private static final Duration START_RETRY = Duration.ofMillis(20);
+  private static final Duration CONFIGURATION_POLL_INTERVAL = Duration.ofMillis(20);
 
   private final Executor clock;
   private final ForwardContext context;
   private final Supplier<Optional<EntryConfiguration>> configuration;
   private final Predicate<Duration> confirmedWithin;
   private Duration keyFreshness;
-  private final Set<ForwardRun> running = new LinkedHashSet<>();
+  private final Set<ForwardedRequest> inFlight = new LinkedHashSet<>();
   private boolean stopping;
 
   private Forwarder(
@@ -60,26 +63,40 @@
     this.keyFreshness = checkNotNull(keyFreshness);
     context
         .fleet()
-        .onSuspicion(engine -> ImmutableList.copyOf(running).forEach(run -> run.suspected(engine)));
+        .onSuspicion(
+            engine ->
+                ImmutableList.copyOf(inFlight)
+                    .forEach(forwarded -> forwarded.engineSuspected(engine)));
     context
         .fleet()
-        .onRecovery(engine -> ImmutableList.copyOf(running).forEach(run -> run.recovered(engine)));
+        .onRecovery(
+            engine ->
+                ImmutableList.copyOf(inFlight)
+                    .forEach(forwarded -> forwarded.engineRecovered(engine)));
     context
         .fleet()
-        .onEnd(endpoint -> ImmutableList.copyOf(running).forEach(run -> run.ended(endpoint)));
-    context.fleet().onLeaving(this::moveOff);
+        .onEnd(
+            endpoint ->
+                ImmutableList.copyOf(inFlight)
+                    .forEach(forwarded -> forwarded.endpointEnded(endpoint)));
+    context.fleet().onLeaving(this::migrateFrom);
     context
         .quarantine()
-        .onHold(content -> ImmutableList.copyOf(running).forEach(run -> run.heldBack(content)));
+        .onHold(
+            content ->
+                ImmutableList.copyOf(inFlight)
+                    .forEach(forwarded -> forwarded.quarantined(content)));
   }
 
   /**
    * Returns a forwarder.
    *
-   * @param quarantine requests that are held back because endpoints end under them
-   * @param configuration the newest configuration that the node knows
-   * @param confirmedWithin whether the store confirmed it in answer to a question of that age
-   * @param sharingNodes number of nodes that share the budget of repeated sends
+   * @param quarantine contents of requests that are not sent because endpoints crashed while
+   *     running them
+   * @param configuration the latest configuration known to the node
+   * @param confirmedWithin whether the store confirmed the configuration in response to a request
+   *     sent within the given time
+   * @param sharingNodes the number of nodes that share the retry budget
    */
   public static Forwarder create(
       Executor clock,
@@ -87,7 +104,7 @@
       Fleet fleet,
       HealthWatch health,
       EngineControl control,
-      EndpointCalls calls,
+      EndpointTransport transport,
       SharedQuarantine quarantine,
       ForwardingLimits limits,
       Supplier<Optional<EntryConfiguration>> configuration,
@@ -103,8 +120,8 @@
             PathPlanner.create(random),
             health,
             control,
-            calls,
-            new WaitingLines(clock),
+            transport,
+            new CapacityQueues(clock),
             ResendBudget.of(limits, sharingNodes),
             quarantine.quarantine(),
             quarantine.endpoints(),
@@ -113,106 +130,107 @@
     return new Forwarder(context, configuration, confirmedWithin, limits.keyFreshness());
   }
 
-  /** Sets the bounds for requests from now on. */
-  public void limits(ForwardingLimits limits) {
+  /** Updates the limits for subsequent requests. */
+  public void updateLimits(ForwardingLimits limits) {
     keyFreshness = limits.keyFreshness();
-    context.budget().limits(limits);
+    context.budget().updateLimits(limits);
   }
 
-  /** Takes a request whose body has been read; returns what is told of the caller from now on. */
-  public CallerAnswer.Flow take(CallerRequest request, CallerAnswer answer) {
+  /** Forwards a request whose body has been read; returns the listener for its caller's events. */
+  public CallerResponse.Listener forward(CallerRequest request, CallerResponse response) {
     if (configuration.get().isPresent()) {
-      return admit(request, answer);
+      return admit(request, response);
     }
-    HeldRequest held = new HeldRequest();
-    waitForConfiguration(request, answer, held, clock.currentTime(NANOSECONDS));
-    return held;
+    PendingRequest pending = new PendingRequest();
+    waitForConfiguration(request, response, pending, clock.currentTime(NANOSECONDS));
+    return pending;
   }
 
   private void waitForConfiguration(
-      CallerRequest request, CallerAnswer answer, HeldRequest held, long since) {
-    if (held.isGone()) {
+      CallerRequest request, CallerResponse response, PendingRequest pending, long arrivedAt) {
+    if (pending.isDisconnected()) {
       return;
     }
-    boolean over = clock.currentTime(NANOSECONDS) - since >= START_WAIT.toNanos();
-    if (configuration.get().isPresent() || over) {
-      held.goOnAs(admit(request, answer));
+    boolean timedOut =
+        clock.currentTime(NANOSECONDS) - arrivedAt >= CONFIGURATION_TIMEOUT.toNanos();
+    if (configuration.get().isPresent() || timedOut) {
+      pending.delegateTo(admit(request, response));
       return;
     }
     clock.schedule(
-        () -> waitForConfiguration(request, answer, held, since),
-        START_RETRY.toNanos(),
+        () -> waitForConfiguration(request, response, pending, arrivedAt),
+        CONFIGURATION_POLL_INTERVAL.toNanos(),
         NANOSECONDS);
   }
 
-  private CallerAnswer.Flow admit(CallerRequest request, CallerAnswer answer) {
+  private CallerResponse.Listener admit(CallerRequest request, CallerResponse response) {
     Optional<EntryConfiguration> known = configuration.get();
     if (known.isEmpty()) {
-      return refuse(request, answer, Reason.NOT_READY, "no configuration has been read yet");
+      return refuse(request, response, Reason.NOT_READY, "no configuration has been read yet");
     }
-    if (!fresh()) {
+    if (!hasFreshConfiguration()) {
       return refuse(
-          request, answer, Reason.CONFIGURATION_STALE, "the store has not confirmed it lately");
+          request, response, Reason.CONFIGURATION_STALE, "the store has not confirmed it lately");
     }
     if (stopping) {
-      return refuse(request, answer, Reason.STOPPING, "the node is about to end");
+      return refuse(request, response, Reason.STOPPING, "the node is about to end");
     }
     EntryConfiguration configured = known.get();
     Optional<EntryRoute> route = configured.route(request.host(), request.path());
     if (route.isEmpty()) {
-      return refuse(request, answer, Reason.UNKNOWN_PATH, request.host() + request.path());
+      return refuse(request, response, Reason.UNKNOWN_PATH, request.host() + request.path());
     }
     Optional<Caller> caller = request.key().flatMap(configured::caller);
     boolean keyed = configured.needsKeys() && !route.get().open();
     if (keyed && caller.isEmpty()) {
-      return refuse(request, answer, Reason.UNKNOWN_KEY, "route " + route.get().name());
+      return refuse(request, response, Reason.UNKNOWN_KEY, "route " + route.get().name());
     }
-    ForwardRun run =
-        ForwardRun.create(
+    ForwardedRequest forwarded =
+        ForwardedRequest.create(
             context,
             configured,
             route.get(),
             keyed ? caller : Optional.empty(),
             request,
-            answer,
-            running::remove);
-    running.add(run);
+            response,
+            inFlight::remove);
+    inFlight.add(forwarded);
     context.counters().count(Metric.REQUESTS, route.get().kind().name());
-    run.start();
-    return run;
+    forwarded.start();
+    return forwarded;
   }
 
-  /** Moves requests off an engine that is leaving; those that end soon are left to end. */
-  private void moveOff(TrackedEndpoint engine) {
+  /** Migrates requests from an engine that is leaving, except those that complete soon. */
+  private void migrateFrom(TrackedEndpoint engine) {
     clock.schedule(
-        () -> ImmutableList.copyOf(running).forEach(run -> run.leaving(engine)),
-        MOVE_OFF.toNanos(),
+        () -> ImmutableList.copyOf(inFlight).forEach(forwarded -> forwarded.engineLeaving(engine)),
+        MIGRATION_DELAY.toNanos(),
         NANOSECONDS);
   }
 
-  /** Returns whether the configuration was confirmed lately enough to serve. */
-  public boolean fresh() {
+  /** Returns whether the configuration was confirmed recently enough to serve requests. */
+  public boolean hasFreshConfiguration() {
     return configuration.get().isPresent() && confirmedWithin.test(keyFreshness);
   }
 
-  /** Returns how many requests are in flight. */
+  /** Returns the number of requests in flight. */
   public int inFlight() {
-    return running.size();
+    return inFlight.size();
   }
 
-  /** Refuses new requests from now on; those in flight go on. */
-  public void refuseNew() {
+  /** Refuses new requests from now on; requests in flight continue. */
+  public void refuseNewRequests() {
     stopping = true;
   }
 
-  private CallerAnswer.Flow refuse(
-      CallerRequest request, CallerAnswer answer, Reason reason, String detail) {
+  private CallerResponse.Listener refuse(
+      CallerRequest request, CallerResponse response, Reason reason, String detail) {
     Refusal refusal = Refusal.before(reason, detail);
     if (reason.status() == 503) {
-      refusal = refusal.withRetryAfter(COME_BACK_SOON);
+      refusal = refusal.withRetryAfter(RETRY_AFTER);
     }
-    ForwardLog.refused(request, refusal, Trail.none(), context.counters());
-    answer.refuse(refusal);
-    return new HeldRequest();
+    ForwardLog.refused(request, refusal, RequestProgress.none(), context.counters());
+    response.refuse(refusal);
+    return new PendingRequest();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
@@ -13,139 +13,138 @@
 import org.vaneworks.coordination.relay.EnginePath;
 
 /**
- * Gives the layers of one engine to others while a request runs; the first engine of its path
- * stays.
+ * Replaces one engine on the path of a running request; the first engine of the path stays.
  *
- * <p>The present path counts until the first engine has accepted another: a request whose engine is
- * only leaving still makes progress on it, and breaking it off would lose that. Confined to the
- * node's event loop.
+ * <p>The present path remains in use until the first engine has accepted another one: a request
+ * whose engine is only leaving still makes progress there, and aborting it would lose that
+ * progress. Confined to the node's event loop.
  */
 final class PathReplacement {
-  /** Places on other engines come free within this time. */
-  private static final Duration RETRY = Duration.ofMillis(150);
+  /** Delay between path changes, within which capacity on other engines becomes available. */
+  private static final Duration RETRY_DELAY = Duration.ofMillis(150);
 
-  /** An engine that was in the way of a new path is avoided for its report's lag. */
-  private static final Duration OBSTACLE_PAUSE = Duration.ofMillis(200);
+  /** Time for which an engine that prevented a path change is avoided, the lag of its report. */
+  private static final Duration OBSTACLE_BACKOFF = Duration.ofMillis(200);
 
-  /** The node's request whose path is changed. */
-  interface Owner {
-    /** The first engine accepted the path. */
+  /** Operations of the request whose path is changed. */
+  interface Callbacks {
+    /** Called when the first engine has accepted the path. */
     void replaced(EnginePath next);
 
-    /** Returns whether the request may be begun at other engines instead. */
-    boolean mayBeginElsewhere(TrackedEndpoint lost);
+    /** Returns whether the request may fail over to other engines instead. */
+    boolean mayFailOver(TrackedEndpoint lost);
 
     /**
-     * Begins the request at other engines.
+     * Fails over to other engines.
      *
-     * @param end why the present attempt is to be left
+     * @param failure why the current attempt is to be abandoned
      */
-    void beginElsewhere(AttemptEnd end);
+    void failOver(AttemptFailure failure);
   }
 
   private final ForwardContext context;
   private final CallerRequest request;
-  private final Place place;
+  private final EndpointSelector selector;
   private final TrackedEndpoint lost;
   private final String cause;
-  private final BooleanSupplier stillWanted;
-  private final BooleanSupplier heldBack;
-  private final Owner owner;
-  private int triesLeft;
+  private final BooleanSupplier stillRelevant;
+  private final BooleanSupplier quarantined;
+  private final Callbacks callbacks;
+  private int attemptsLeft;
 
   /**
-   * Makes a replacement that does nothing before {@link #begin}.
+   * Creates a replacement that is inactive until {@link #start}.
    *
-   * @param lost the engine whose layers others are to run
-   * @param cause for the log
-   * @param stillWanted whether the same attempt still runs over that engine
-   * @param heldBack whether the request must not be begun anywhere else
-   * @param tries orders that may be given
+   * @param lost the engine to replace
+   * @param cause the reason, for the log
+   * @param stillRelevant whether the same attempt still uses that engine
+   * @param quarantined whether the request must not start on other engines
+   * @param attempts the maximum number of path changes to request
    */
   PathReplacement(
       ForwardContext context,
       CallerRequest request,
-      Place place,
+      EndpointSelector selector,
       TrackedEndpoint lost,
       String cause,
-      BooleanSupplier stillWanted,
-      BooleanSupplier heldBack,
-      int tries,
-      Owner owner) {
+      BooleanSupplier stillRelevant,
+      BooleanSupplier quarantined,
+      int attempts,
+      Callbacks callbacks) {
     this.context = context;
     this.request = request;
-    this.place = place;
+    this.selector = selector;
     this.lost = lost;
     this.cause = cause;
-    this.stillWanted = stillWanted;
-    this.heldBack = heldBack;
-    this.triesLeft = tries;
-    this.owner = owner;
+    this.stillRelevant = stillRelevant;
+    this.quarantined = quarantined;
+    this.attemptsLeft = attempts;
+    this.callbacks = callbacks;
   }
 
-  void begin() {
-    order(ImmutableList.of(lost));
+  void start() {
+    requestPathChange(ImmutableList.of(lost));
   }
 
-  private void order(ImmutableList<TrackedEndpoint> without) {
-    if (triesLeft <= 0 || heldBack.getAsBoolean()) {
-      refused(AttemptEnd.PATH_LOST);
+  private void requestPathChange(ImmutableList<TrackedEndpoint> excluded) {
+    if (attemptsLeft <= 0 || quarantined.getAsBoolean()) {
+      fail(AttemptFailure.PATH_LOST);
       return;
     }
-    if (!context.fleet().statements().admits(place.target(), CallPurpose.PATH_CHANGE)) {
-      ForwardLog.pathChanged(request, cause, "the first engine wants no calls", "");
-      beginElsewhereOrRetry();
+    if (!context.fleet().statements().admits(selector.target(), CallPurpose.PATH_CHANGE)) {
+      ForwardLog.pathChanged(request, cause, "first engine refuses path changes for now", "");
+      failOverOrRetry();
       return;
     }
-    triesLeft--;
-    Optional<EnginePath> next = place.another(without);
+    attemptsLeft--;
+    Optional<EnginePath> next = selector.alternativePath(excluded);
     if (next.isEmpty()) {
       ForwardLog.pathChanged(request, cause, "no other path", "");
       retryLater();
       return;
     }
-    String text = next.get().text();
-    context.fleet().statements().noteCall(place.target(), CallPurpose.PATH_CHANGE);
+    String pathText = next.get().text();
+    context.fleet().statements().noteCall(selector.target(), CallPurpose.PATH_CHANGE);
     Async.onDone(
-        context.control().repath(place.target().endpoint(), request.id(), text),
+        context.control().repath(selector.target().endpoint(), request.id(), pathText),
         context.clock(),
         (outcome, failure) -> {
-          if (stillWanted.getAsBoolean()) {
-            ForwardLog.pathChanged(request, cause, failure == null ? outcome : failure, text);
-            answered(next.get(), outcome, failure);
+          if (stillRelevant.getAsBoolean()) {
+            ForwardLog.pathChanged(request, cause, failure == null ? outcome : failure, pathText);
+            onOutcome(next.get(), outcome, failure);
           }
         });
   }
 
-  private void answered(EnginePath next, RepathOutcome outcome, Throwable failure) {
+  private void onOutcome(EnginePath next, RepathOutcome outcome, Throwable failure) {
     if (failure != null) {
       retryLater();
       return;
     }
-    Optional<TrackedEndpoint> obstacle = outcome.obstacle().flatMap(place::engineAt);
+    Optional<TrackedEndpoint> obstacle = outcome.obstacle().flatMap(selector::engineAt);
     if (outcome.kind() == RepathOutcome.Kind.ACCEPTED) {
-      owner.replaced(next);
+      callbacks.replaced(next);
     } else if (outcome.kind() == RepathOutcome.Kind.UNKNOWN_REQUEST) {
-      refused(AttemptEnd.REQUEST_UNKNOWN);
+      fail(AttemptFailure.REQUEST_UNKNOWN);
     } else if (obstacle.isPresent()) {
       long now = context.clock().currentTime(NANOSECONDS);
-      obstacle.get().avoidUntil(now + OBSTACLE_PAUSE.toNanos());
+      obstacle.get().avoidUntil(now + OBSTACLE_BACKOFF.toNanos());
       obstacle.get().noteShortage(now);
-      order(ImmutableList.of(lost, obstacle.get()));
+      requestPathChange(ImmutableList.of(lost, obstacle.get()));
     } else {
       retryLater();
     }
   }
 
-  private void refused(AttemptEnd end) {
-    if (owner.mayBeginElsewhere(lost)) {
-      owner.beginElsewhere(end);
+  private void fail(AttemptFailure failure) {
+    if (callbacks.mayFailOver(lost)) {
+      callbacks.failOver(failure);
     }
   }
 
-  private void beginElsewhereOrRetry() {
-    if (owner.mayBeginElsewhere(lost)) {
-      owner.beginElsewhere(AttemptEnd.PATH_LOST);
+  private void failOverOrRetry() {
+    if (callbacks.mayFailOver(lost)) {
+      callbacks.failOver(AttemptFailure.PATH_LOST);
     } else {
       retryLater();
     }
@@ -156,11 +155,11 @@
         .clock()
         .schedule(
             () -> {
-              if (stillWanted.getAsBoolean()) {
-                order(ImmutableList.of(lost));
+              if (stillRelevant.getAsBoolean()) {
+                requestPathChange(ImmutableList.of(lost));
               }
             },
-            RETRY.toNanos(),
+            RETRY_DELAY.toNanos(),
             NANOSECONDS);
   }
 }
--- /dev/null
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
@@ -0,0 +1,180 @@
+package org.vaneworks.coordination.forwarding;
+
+import static java.util.concurrent.TimeUnit.NANOSECONDS;
+
+import io.servicetalk.concurrent.Cancellable;
+import java.time.Duration;
+import org.vaneworks.coordination.concurrent.OwnDelay;
+import org.vaneworks.coordination.relay.EnginePath;
+import org.vaneworks.coordination.relay.PathPart;
+import org.vaneworks.telemetry.Metric;
+
+/**
+ * Monitors the progress of a request on engines and probes the engines when it stalls.
+ *
+ * <p>Only engines through which no request made progress are probed, so a single slow stream causes
+ * no probes. A check that runs late does not prove a stall, as events may be unread in the socket:
+ * it is repeated once they have been read. Confined to the node's event loop.
+ */
+final class ProgressMonitor {
+  /** Time without an event after which the engines are probed. */
+  private static final Duration STALL_TIMEOUT = Duration.ofMillis(250);
+
+  /** Stall timeout before the first event, which requires the prompt to be processed. */
+  private static final Duration FIRST_EVENT_STALL_TIMEOUT = Duration.ofMillis(350);
+
+  /** An engine through which a request progressed fast within this time is not slow. */
+  private static final Duration RECENT_PROGRESS = Duration.ofMillis(300);
+
+  private final ForwardContext context;
+  private final EndpointSelector selector;
+  private final long longPauseNanos;
+  private final Runnable onStall;
+  private Cancellable timer = () -> {};
+  private boolean awaitsHead;
+  private boolean previousPauseShort;
+  private long lastProgress;
+  private long checkDueAt;
+
+  /** Consecutive checks that ran too late to prove a stall. */
+  private int ignoredStalls;
+
+  /**
+   * Creates a monitor that is inactive until {@link #attemptStarted}.
+   *
+   * @param pauseObjective the objective for the longest pause between events
+   * @param onStall called at each check while the request is stalled, before engines are probed
+   */
+  ProgressMonitor(
+      ForwardContext context,
+      EndpointSelector selector,
+      Duration pauseObjective,
+      Runnable onStall) {
+    this.onStall = onStall;
+    this.context = context;
+    this.selector = selector;
+    // Two thirds of the objective: longer pauses come close to missing it.
+    this.longPauseNanos = pauseObjective.toNanos() * 2 / 3;
+  }
+
+  /** Returns when the request last made progress. */
+  long lastProgress() {
+    return lastProgress;
+  }
+
+  /**
+   * Returns whether the request made progress recently, which shows that its engines were alive.
+   */
+  boolean hasRecentProgress() {
+    return now() - lastProgress < STALL_TIMEOUT.toNanos();
+  }
+
+  /**
+   * Starts monitoring an attempt.
+   *
+   * @param resumes whether the attempt resumes a response, whose caller has been waiting since the
+   *     last event
+   */
+  void attemptStarted(boolean resumes) {
+    awaitsHead = true;
+    if (!resumes) {
+      lastProgress = now();
+    }
+    scheduleCheck();
+  }
+
+  /** Monitors a previous attempt again, whose head had been received. */
+  void previousResumed() {
+    awaitsHead = false;
+    scheduleCheck();
+  }
+
+  void headReceived() {
+    awaitsHead = false;
+    previousPauseShort = false;
+    lastProgress = now();
+  }
+
+  /** Restarts the stall timeout after a change that the engines need time for. */
+  void reset() {
+    lastProgress = now();
+  }
+
+  /** Notes that a part of the response arrived. */
+  void partReceived() {
+    long now = now();
+    // The head and the first event arrive together, and so do delayed events. A single short pause
+    // therefore does not prove that an engine is fast.
+    boolean shortPause = now - lastProgress < longPauseNanos;
+    boolean fast = shortPause && previousPauseShort;
+    previousPauseShort = shortPause;
+    lastProgress = now;
+    if (selector.path().isEmpty()) {
+      return;
+    }
+    for (PathPart part : selector.path().get().parts()) {
+      boolean recentlyFast = now - part.engine().lastFastProgress() < RECENT_PROGRESS.toNanos();
+      if (!shortPause && !recentlyFast) {
+        context.health().checkPace(part.engine());
+      }
+      part.engine().noteProgress(now, fast);
+    }
+  }
+
+  void stop() {
+    timer.cancel();
+  }
+
+  private void scheduleCheck() {
+    timer.cancel();
+    if (!selector.runsOnEngines() || !selector.isSelected()) {
+      return;
+    }
+    long wait = stallTimeout().toNanos() - (now() - lastProgress);
+    long minWait = STALL_TIMEOUT.toNanos() / 2;
+    checkAfter(Math.max(wait, minWait));
+  }
+
+  private void checkAfter(long nanos) {
+    checkDueAt = now() + nanos;
+    timer = context.clock().schedule(this::check, nanos, NANOSECONDS);
+  }
+
+  private Duration stallTimeout() {
+    return awaitsHead ? FIRST_EVENT_STALL_TIMEOUT : STALL_TIMEOUT;
+  }
+
+  private void check() {
+    Duration delay = Duration.ofNanos(now() - checkDueAt);
+    context.counters().record(Metric.LATE_CHECKS, delay);
+    if (selector.path().isEmpty()) {
+      return;
+    }
+    boolean stalled = now() - lastProgress >= stallTimeout().toNanos();
+    if (stalled && OwnDelay.excuses(delay, ignoredStalls)) {
+      ignoredStalls++;
+      context.counters().count(Metric.UNCOUNTED_SILENCES, "look");
+      checkAfter(OwnDelay.READ_FIRST.toNanos());
+      return;
+    }
+    ignoredStalls = 0;
+    if (stalled) {
+      EnginePath path = selector.path().get();
+      onStall.run();
+      probeSilentEngines(path);
+    }
+    scheduleCheck();
+  }
+
+  private void probeSilentEngines(EnginePath path) {
+    for (PathPart part : path.parts()) {
+      if (now() - part.engine().lastProgress() >= STALL_TIMEOUT.toNanos()) {
+        context.health().check(part.engine());
+      }
+    }
+  }
+
+  private long now() {
+    return context.clock().currentTime(NANOSECONDS);
+  }
+}
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ContentGuard.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
@@ -9,19 +9,19 @@
 import org.vaneworks.state.RequestContent;
 
 /**
- * One request as the quarantine sees it: whether it is held back, and what it did to endpoints.
+ * Quarantine checks for one request, and reports of endpoints lost while they ran it.
  *
- * <p>The content is worked out only once an endpoint was lost under some request, so that a calm
- * node digests no bodies. Confined to the node's event loop.
+ * <p>The content digest is computed lazily: no body is hashed before an endpoint is lost during
+ * some request. Confined to the node's event loop.
  */
-final class ContentGuard {
+final class RequestQuarantine {
   private final ForwardContext context;
   private final CallerRequest request;
   private final Optional<String> workspace;
   private Optional<RequestContent> content = Optional.empty();
   private Optional<RequestStart> start = Optional.empty();
 
-  ContentGuard(ForwardContext context, CallerRequest request, Optional<String> workspace) {
+  RequestQuarantine(ForwardContext context, CallerRequest request, Optional<String> workspace) {
     this.context = context;
     this.request = request;
     this.workspace = workspace;
@@ -34,27 +34,27 @@
     return content.get();
   }
 
-  boolean asksFor(RequestContent other) {
+  boolean hasContent(RequestContent other) {
     return content().equals(other);
   }
 
-  /** Returns whether the request must not be sent now. */
-  boolean isHeldBack() {
+  /** Returns whether the request is quarantined and must not be sent. */
+  boolean isQuarantined() {
     return !context.quarantine().isEmpty() && context.quarantine().holds(content());
   }
 
-  /** Returns whether one more end of an endpoint would hold the request back. */
-  boolean isOneEndShort() {
+  /** Returns whether one more endpoint loss would quarantine the request. */
+  boolean isOneLossShort() {
     return !context.quarantine().isEmpty() && context.quarantine().isOneEndShort(content());
   }
 
-  /** Notes that the request is sent, or goes on over another path. */
-  void started() {
+  /** Notes that the request was sent, or continues over another path. */
+  void noteSent() {
     start = Optional.empty();
   }
 
-  /** Notes that an endpoint was lost that the request was sent to, or that ran part of its path. */
-  void lost(TrackedEndpoint endpoint, Duration sinceSent, Optional<Duration> sinceFirstPart) {
+  /** Notes the loss of an endpoint to which the request was sent or which was on its path. */
+  void noteLost(TrackedEndpoint endpoint, Duration sinceSent, Optional<Duration> sinceFirstPart) {
     ForwardLog.lostEndpoint(request, content(), endpoint, sinceSent, sinceFirstPart);
     if (start.isEmpty()) {
       start = Optional.of(RequestStart.of(content()));
@@ -62,14 +62,14 @@
     context.endedEndpoints().lost(endpoint, start.get(), sinceFirstPart.orElse(sinceSent));
   }
 
-  /** Notes that an endpoint answered the request whole. */
-  void answered() {
+  /** Notes that an endpoint completed the request. */
+  void noteCompleted() {
     if (!context.quarantine().isEmpty()) {
       context.quarantine().noteAnswered(content());
     }
   }
 
-  /** Returns the answer to a request that was never sent because it is held back. */
+  /** Returns the refusal of a quarantined request that was never sent. */
   Refusal refusal() {
     return Refusal.before(Reason.QUARANTINED, "content " + content())
         .withRetryAfter(context.quarantine().remaining(content()));
