--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EndpointListWatch.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EndpointListWatch.java
@@ -65,17 +65,17 @@
 
   @Override
   public void silent(StoreSilence silence) {
-    fleet.noteStoreSilent(silence.lastCallBegunAt(), silence.lastPosition());
+    fleet.recordStoreFailure(silence.lastCallBegunAt(), silence.lastPosition());
   }
 
   @Override
   public void newEra(long era) {
-    fleet.noteNewEra();
+    fleet.recordNewEra();
   }
 
   @Override
   public void upToDate() {
-    fleet.judgeUnlisted();
+    fleet.resolveMissing();
   }
 
   private Optional<FleetEndpoint> read(StoredItem item) {
--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
@@ -15,14 +15,14 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import org.vaneworks.coordination.fleet.Fleet;
-import org.vaneworks.coordination.fleet.HealthWatch;
+import org.vaneworks.coordination.fleet.HealthChecker;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 import org.vaneworks.coordination.forwarding.Forwarder;
 import org.vaneworks.coordination.forwarding.ForwardingLimits;
 import org.vaneworks.coordination.load.LoadExchange;
 import org.vaneworks.coordination.load.LoadReport;
 import org.vaneworks.coordination.load.LoadSender;
-import org.vaneworks.coordination.load.StartShares;
+import org.vaneworks.coordination.load.RateLimitShares;
 import org.vaneworks.coordination.placement.PlacementController;
 import org.vaneworks.coordination.quarantine.SharedQuarantine;
 import org.vaneworks.coordination.shared.MeasuredStore;
@@ -98,7 +98,7 @@
     this.io = io;
     counters = Counters.in(meters);
     fleet = Fleet.create(io, counters, RELIST_GRACE);
-    adapters.engines().onStatement(fleet.statements()::answeredCall);
+    adapters.engines().onStatement(fleet.signals()::recordCallAnswer);
     peerVersions = new PeerVersions(io);
     SharedStore store = MeasuredStore.of(io, adapters.store(), counters);
     SuspensionWatch suspensions = SuspensionWatch.create(io, System::currentTimeMillis, counters);
@@ -123,7 +123,7 @@
             lease::liveNodes,
             this::configurationVersion,
             new Reports());
-    StartShares.keep(
+    RateLimitShares.maintain(
         io, random, fleet, settings.name(), settings.dataCentre(), lease::sharingPeers);
     SharedQuarantine quarantine =
         SharedQuarantine.create(
@@ -167,7 +167,7 @@
             io,
             random,
             fleet,
-            HealthWatch.create(io, fleet, adapters.engines()),
+            HealthChecker.create(io, fleet, adapters.engines()),
             adapters.engines(),
             connections,
             quarantine,
@@ -194,8 +194,8 @@
   }
 
   private void heard(LoadReport report) {
-    peerVersions.heard(report.configuration());
-    exchange.heard(report);
+    peerVersions.heard(report.configurationVersion());
+    exchange.receive(report);
   }
 
   private FollowTimes followTimes() {
@@ -316,7 +316,7 @@
   private boolean everyLayerHeld() {
     EntryConfiguration configured = configuration.newest().get();
     return configured.engineServices().stream()
-        .allMatch(service -> fleet.holdsAll(service.name(), service.model().get().layers()));
+        .allMatch(service -> fleet.coversAllLayers(service.name(), service.model().get().layers()));
   }
 
   /**
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelNode.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelNode.java
@@ -67,7 +67,7 @@
   }
 
   void heard(LoadReport report) {
-    exchange.heard(report);
+    exchange.receive(report);
   }
 
   Optional<EnginePath> plan(RequestSize size) {
@@ -79,6 +79,6 @@
   void noteFull(TrackedEndpoint engine) {
     long now = clock.currentTime(NANOSECONDS);
     engine.avoidUntil(now + FULL_PAUSE.toNanos());
-    engine.noteShortage(now);
+    engine.recordShortage(now);
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
@@ -28,16 +28,16 @@
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
 import org.vaneworks.coordination.concurrent.Async;
+import org.vaneworks.coordination.fleet.BackoffRequestedException;
+import org.vaneworks.coordination.fleet.ConnectionRefusedException;
 import org.vaneworks.coordination.fleet.EngineControl;
 import org.vaneworks.coordination.fleet.EngineReport;
 import org.vaneworks.coordination.fleet.Fleet;
 import org.vaneworks.coordination.fleet.FleetEndpoint;
-import org.vaneworks.coordination.fleet.HealthWatch;
+import org.vaneworks.coordination.fleet.HealthChecker;
 import org.vaneworks.coordination.fleet.Incarnation;
-import org.vaneworks.coordination.fleet.NobodyListensException;
 import org.vaneworks.coordination.fleet.RepathOutcome;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
-import org.vaneworks.coordination.fleet.TurnedAwayException;
 import org.vaneworks.coordination.forwarding.Attempt;
 import org.vaneworks.coordination.forwarding.CallerAnswer;
 import org.vaneworks.coordination.forwarding.CallerRequest;
@@ -46,7 +46,7 @@
 import org.vaneworks.coordination.forwarding.ForwardingLimits;
 import org.vaneworks.coordination.load.LoadExchange;
 import org.vaneworks.coordination.load.LoadReport;
-import org.vaneworks.coordination.load.StartShares;
+import org.vaneworks.coordination.load.RateLimitShares;
 import org.vaneworks.coordination.quarantine.SharedQuarantine;
 import org.vaneworks.coordination.relay.RequestSize;
 import org.vaneworks.coordination.shared.Peer;
@@ -198,7 +198,7 @@
           number,
           SERVICE,
           Optional.of(LayerRange.of(0, LAYERS)),
-          inDetail ? Incarnation.startedAt(FIRST_START_MILLIS) : Incarnation.UNTOLD);
+          inDetail ? Incarnation.startedAt(FIRST_START_MILLIS) : Incarnation.UNKNOWN);
     }
 
     Engine(int number, String service, Optional<LayerRange> layers, Incarnation run) {
@@ -614,7 +614,7 @@
       Random random = new Random(seed + number);
       Counters counters = Counters.in(meters);
       fleet = Fleet.create(clock, counters, EntryNode.RELIST_GRACE);
-      onStatement(fleet.statements()::answeredCall);
+      onStatement(fleet.signals()::recordCallAnswer);
       exchange =
           LoadExchange.create(
               clock,
@@ -625,7 +625,8 @@
               nodes::size,
               () -> known.version(),
               this::tell);
-      StartShares.keep(clock, random, fleet, boxAt(place), dataCentre(place), () -> peersOf(place));
+      RateLimitShares.maintain(
+          clock, random, fleet, boxAt(place), dataCentre(place), () -> peersOf(place));
       SharedQuarantine quarantine =
           SharedQuarantine.create(clock, random, link, QUARANTINE, "n" + number, fleet, counters);
       PrefixFollower follower =
@@ -649,7 +650,7 @@
               clock,
               random,
               fleet,
-              HealthWatch.create(clock, fleet, this),
+              HealthChecker.create(clock, fleet, this),
               this,
               (attempt, listener) -> send(place, this, attempt, listener),
               quarantine,
@@ -683,7 +684,7 @@
     }
 
     private void hear(byte[] report) {
-      clock.arrive(() -> exchange.heard(LoadCodec.decode(report)));
+      clock.arrive(() -> exchange.receive(LoadCodec.decode(report)));
     }
 
     private void configure(EntryConfiguration next, ForwardingLimits bounds) {
@@ -721,7 +722,7 @@
         return CompletableFuture.failedFuture(refused());
       }
       if (isTurnedAway(endpoint)) {
-        return CompletableFuture.failedFuture(new TurnedAwayException());
+        return CompletableFuture.failedFuture(new BackoffRequestedException());
       }
       return CompletableFuture.completedFuture(
           new EngineReport(
@@ -833,8 +834,8 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  private static NobodyListensException refused() {
-    return new NobodyListensException(new ConnectException("Connection refused"));
+  private static ConnectionRefusedException refused() {
+    return new ConnectionRefusedException(new ConnectException("Connection refused"));
   }
 
   private void startEngine() {
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/LateNodeHealthTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/DelayedHealthCheckerTest.java
@@ -16,7 +16,7 @@
 import org.vaneworks.coordination.fleet.EngineReport;
 import org.vaneworks.coordination.fleet.Fleet;
 import org.vaneworks.coordination.fleet.FleetEndpoint;
-import org.vaneworks.coordination.fleet.HealthWatch;
+import org.vaneworks.coordination.fleet.HealthChecker;
 import org.vaneworks.coordination.fleet.Incarnation;
 import org.vaneworks.coordination.fleet.RepathOutcome;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
@@ -27,7 +27,7 @@
 import org.vaneworks.testlib.PausedExecutor;
 
 /** Checks that a node that stands still does not take its own delay for an engine's silence. */
-final class LateNodeHealthTest {
+final class DelayedHealthCheckerTest {
   private static final Duration ANSWERS_AFTER = Duration.ofMillis(5);
 
   /** Longer than a question's limit, and than any lateness that is not noticed. */
@@ -39,7 +39,7 @@
   private final PausedExecutor clock = PausedExecutor.create();
   private final SimpleMeterRegistry meters = new SimpleMeterRegistry();
   private final Fleet fleet = Fleet.create(clock, Counters.in(meters), Duration.ofMillis(2500));
-  private final HealthWatch health = HealthWatch.create(clock, fleet, new Engine());
+  private final HealthChecker health = HealthChecker.create(clock, fleet, new Engine());
   private TrackedEndpoint engine;
   private int asked;
   private int suspicions;
@@ -61,7 +61,7 @@
 
     private EngineReport healthy(FleetEndpoint endpoint) {
       return new EngineReport(
-          1, false, endpoint.layers(), 1, ImmutableMap.of(), Incarnation.UNTOLD);
+          1, false, endpoint.layers(), 1, ImmutableMap.of(), Incarnation.UNKNOWN);
     }
 
     @Override
@@ -83,7 +83,7 @@
     fleet.put(
         new FleetEndpoint(
             "a", "s", address, "dc1", 6, false, Optional.empty(), "", StorePosition.START));
-    engine = fleet.of("s").get(0);
+    engine = fleet.listed("s").get(0);
     fleet.onSuspicion(suspected -> suspicions++);
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/FleetTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/FleetTest.java
@@ -50,13 +50,13 @@
   }
 
   private void storeWasSilent() {
-    fleet.noteStoreSilent(
+    fleet.recordStoreFailure(
         clock.currentTime(TimeUnit.NANOSECONDS), Optional.of(new StorePosition(0, BEFORE)));
   }
 
   private void unlist(String... ids) {
     List.of(ids).forEach(fleet::remove);
-    fleet.judgeUnlisted();
+    fleet.resolveMissing();
   }
 
   private int usable() {
@@ -84,14 +84,14 @@
   @Test
   void endpointThatSaysInAnAnswerThatItLeavesGetsNothingNew() {
     fleet.put(endpoint("a", false));
-    fleet.statements().answered(fleet.all().get(0), saysThatItLeaves());
+    fleet.signals().recordAnswer(fleet.all().get(0), saysThatItLeaves());
     assertEquals(0, usable());
   }
 
   @Test
   void engineThatSaysSoOfACallGetsNothingNew() {
     fleet.put(endpoint("a", false));
-    fleet.statements().answeredCall(endpoint("a", false), saysThatItLeaves());
+    fleet.signals().recordCallAnswer(endpoint("a", false), saysThatItLeaves());
     assertEquals(0, usable());
   }
 
@@ -101,8 +101,8 @@
     fleet.onLeaving(told::add);
     fleet.put(endpoint("a", false));
     TrackedEndpoint known = fleet.all().get(0);
-    fleet.statements().answered(known, saysThatItLeaves());
-    fleet.statements().answered(known, saysThatItLeaves());
+    fleet.signals().recordAnswer(known, saysThatItLeaves());
+    fleet.signals().recordAnswer(known, saysThatItLeaves());
     fleet.put(endpoint("a", true));
     assertEquals(List.of(known), told);
   }
@@ -110,7 +110,7 @@
   @Test
   void endpointThatLeavesByAnswerIsNotUsedForItsEntry() {
     fleet.put(endpoint("a", false));
-    fleet.statements().answered(fleet.all().get(0), saysThatItLeaves());
+    fleet.signals().recordAnswer(fleet.all().get(0), saysThatItLeaves());
     fleet.put(endpoint("a", false));
     assertEquals(0, usable());
   }
@@ -129,7 +129,7 @@
     fleet.put(endpoint("a", false));
     TrackedEndpoint former = fleet.all().get(0);
     unlist("a");
-    fleet.statements().answered(former, saysThatItLeaves());
+    fleet.signals().recordAnswer(former, saysThatItLeaves());
     fleet.put(endpoint("a", false));
     assertEquals(0, usable());
   }
@@ -154,15 +154,15 @@
     fleet.put(run(1000));
     TrackedEndpoint former = fleet.all().get(0);
     fleet.put(run(2000));
-    fleet.statements().answered(former, saysThatItLeaves());
-    fleet.statements().answeredCall(run(1000), saysThatItLeaves());
+    fleet.signals().recordAnswer(former, saysThatItLeaves());
+    fleet.signals().recordCallAnswer(run(1000), saysThatItLeaves());
     assertEquals(1, usable());
   }
 
   @Test
   void lateEntryOfAFormerRunTakesNothingThatTheLaterOneSaid() {
     fleet.put(run(2000));
-    fleet.statements().answeredCall(run(2000), saysThatItLeaves());
+    fleet.signals().recordCallAnswer(run(2000), saysThatItLeaves());
     fleet.put(run(1000));
     unlist("a");
     fleet.put(run(2000));
@@ -172,8 +172,8 @@
   @Test
   void answerWithoutTheWordEndsNoAnnouncement() {
     fleet.put(endpoint("a", false));
-    fleet.statements().answered(fleet.all().get(0), saysThatItLeaves());
-    fleet.statements().answered(fleet.all().get(0), EndpointStatement.NONE);
+    fleet.signals().recordAnswer(fleet.all().get(0), saysThatItLeaves());
+    fleet.signals().recordAnswer(fleet.all().get(0), EndpointStatement.NONE);
     assertEquals(0, usable());
   }
 
@@ -189,7 +189,7 @@
     fleet.put(endpoint("a", false));
     storeWasSilent();
     fleet.replaceAll(List.of());
-    fleet.judgeUnlisted();
+    fleet.resolveMissing();
     assertEquals(1, usable());
     clock.advance(Duration.ofMillis(2600));
     assertEquals(0, fleet.size());
@@ -223,7 +223,7 @@
     fleet.remove("a");
     fleet.remove("b");
     fleet.put(endpoint("b", false, BEFORE + 10));
-    fleet.judgeUnlisted();
+    fleet.resolveMissing();
     assertEquals(2, usable());
   }
 
@@ -232,7 +232,7 @@
     fleet.put(endpoint("a", false));
     long begunAt = clock.currentTime(TimeUnit.NANOSECONDS);
     clock.advance(Duration.ofMillis(900));
-    fleet.noteStoreSilent(begunAt, Optional.of(new StorePosition(0, BEFORE)));
+    fleet.recordStoreFailure(begunAt, Optional.of(new StorePosition(0, BEFORE)));
     unlist("a");
     clock.advance(Duration.ofMillis(1500));
     assertEquals(1, usable());
@@ -256,17 +256,17 @@
   @Test
   void suspectedEndpointIsUsedAgainOnceCleared() {
     fleet.put(endpoint("a", false));
-    fleet.suspect(fleet.of("s").get(0), "test");
+    fleet.suspect(fleet.listed("s").get(0), "test");
     assertEquals(0, usable());
-    fleet.clear(fleet.of("s").get(0));
+    fleet.clearSuspicion(fleet.listed("s").get(0));
     assertEquals(1, usable());
   }
 
   @Test
   void shortageFades() {
     fleet.put(endpoint("a", false));
-    var tracked = fleet.of("s").get(0);
-    tracked.noteShortage(0);
+    var tracked = fleet.listed("s").get(0);
+    tracked.recordShortage(0);
     double first = tracked.shortage(0);
     assertTrue(first > 1.2);
     assertTrue(tracked.shortage(Duration.ofSeconds(4).toNanos()) < 1.05);
@@ -296,7 +296,7 @@
     fleet.put(run("a", 80, 1, Incarnation.startedAt(1000)));
     TrackedEndpoint former = only();
     former.reserve(500);
-    former.noteShortage(0);
+    former.recordShortage(0);
     fleet.suspect(former, "test");
     fleet.put(run("a", 80, 1, Incarnation.startedAt(2000)));
     TrackedEndpoint later = only();
@@ -310,7 +310,7 @@
   void endOfARunIsToldOnceTheLaterOneIsKnown() {
     fleet.put(run("a", 80, 1, Incarnation.startedAt(1000)));
     List<Optional<TrackedEndpoint>> atThatTime = new ArrayList<>();
-    fleet.onEnd(ended -> atThatTime.add(fleet.at("s", ended.address())));
+    fleet.onIncarnationEnd(ended -> atThatTime.add(fleet.find("s", ended.address())));
     fleet.put(run("a", 80, 1, Incarnation.startedAt(2000)));
     assertEquals(List.of(Optional.of(only())), atThatTime);
   }
@@ -328,7 +328,7 @@
   void reportOfALaterRunEndsTheKnownOneBeforeTheListDoes() {
     fleet.put(run("a", 80, 1, Incarnation.startedAt(1000)));
     TrackedEndpoint former = only();
-    assertFalse(fleet.isSameRun(former, Incarnation.startedAt(2000)));
+    assertFalse(fleet.reconcileIncarnation(former, Incarnation.startedAt(2000)));
     assertTrue(former.hasEnded());
     assertEquals(Optional.empty(), only().endpoint().layers());
     fleet.put(run("a", 80, 1, Incarnation.startedAt(1000)));
@@ -338,9 +338,9 @@
   @Test
   void reportOfAFormerRunIsOfNoUse() {
     fleet.put(run("a", 80, 1, Incarnation.startedAt(2000)));
-    assertFalse(fleet.isSameRun(only(), Incarnation.startedAt(1000)));
-    assertTrue(fleet.isSameRun(only(), Incarnation.startedAt(2000)));
-    assertTrue(fleet.isSameRun(only(), Incarnation.UNTOLD));
+    assertFalse(fleet.reconcileIncarnation(only(), Incarnation.startedAt(1000)));
+    assertTrue(fleet.reconcileIncarnation(only(), Incarnation.startedAt(2000)));
+    assertTrue(fleet.reconcileIncarnation(only(), Incarnation.UNKNOWN));
   }
 
   @Test
@@ -353,9 +353,9 @@
   @Test
   void entryWithoutAStartNamesNoEndpointOfAnIdThatToldOne() {
     fleet.put(run("a", 80, 1, Incarnation.startedAt(1000)));
-    fleet.put(run("a", 80, 1, Incarnation.UNTOLD));
+    fleet.put(run("a", 80, 1, Incarnation.UNKNOWN));
     assertEquals(0, fleet.size());
-    fleet.put(run("a", 80, 1, Incarnation.UNTOLD));
+    fleet.put(run("a", 80, 1, Incarnation.UNKNOWN));
     assertEquals(0, fleet.size());
     fleet.put(run("a", 80, 1, Incarnation.startedAt(1000)));
     assertEquals(1, usable());
@@ -371,11 +371,11 @@
 
   @Test
   void withdrawnEndpointIsGoneAlsoWhileTheStoreIsSilent() {
-    fleet.put(run("a", 80, 1, Incarnation.UNTOLD));
+    fleet.put(run("a", 80, 1, Incarnation.UNKNOWN));
     storeWasSilent();
     fleet.withdraw("a", "test");
     assertEquals(0, fleet.size());
-    fleet.put(run("a", 80, 1, Incarnation.UNTOLD));
+    fleet.put(run("a", 80, 1, Incarnation.UNKNOWN));
     assertEquals(1, usable());
   }
 
@@ -397,10 +397,10 @@
   void endpointsThatAStoreForgotAreKeptForAWhile() {
     fleet.put(endpoint("a", false));
     fleet.put(endpoint("b", false));
-    fleet.noteNewEra();
+    fleet.recordNewEra();
     FleetEndpoint again = endpointOfEra(1, "b");
     fleet.replaceAll(List.of(again));
-    fleet.judgeUnlisted();
+    fleet.resolveMissing();
     assertEquals(2, usable());
     clock.advance(Duration.ofMillis(2600));
     assertEquals(1, usable());
@@ -411,9 +411,9 @@
     fleet.put(endpoint("a", false));
     unlist("a");
     assertEquals(0, usable());
-    fleet.noteNewEra();
+    fleet.recordNewEra();
     fleet.replaceAll(List.of(endpointOfEra(1, "a")));
-    fleet.judgeUnlisted();
+    fleet.resolveMissing();
     assertEquals(0, usable());
     fleet.put(endpointOfEra(1, "a"));
     assertEquals(1, usable());
@@ -423,15 +423,15 @@
   void endpointThatTheCopyNamesAndNobodyUnlistsIsUsedInTheEnd() {
     fleet.put(endpoint("a", false));
     unlist("a");
-    fleet.noteNewEra();
+    fleet.recordNewEra();
     fleet.replaceAll(List.of(endpointOfEra(1, "a")));
-    fleet.judgeUnlisted();
+    fleet.resolveMissing();
     clock.advance(Duration.ofSeconds(9));
-    fleet.judgeUnlisted();
+    fleet.resolveMissing();
     assertEquals(0, usable());
     clock.advance(Duration.ofSeconds(2));
     assertEquals(0, usable());
-    fleet.judgeUnlisted();
+    fleet.resolveMissing();
     assertEquals(1, usable());
   }
 
@@ -439,21 +439,21 @@
   void endpointThatTheCopyNamesAndThatIsUnlistedAgainStaysGone() {
     fleet.put(endpoint("a", false));
     unlist("a");
-    fleet.noteNewEra();
+    fleet.recordNewEra();
     fleet.replaceAll(List.of(endpointOfEra(1, "a")));
-    fleet.judgeUnlisted();
+    fleet.resolveMissing();
     unlist("a");
     clock.advance(Duration.ofSeconds(20));
-    fleet.judgeUnlisted();
+    fleet.resolveMissing();
     assertEquals(0, usable());
   }
 
   @Test
   void announcementOfAnEndHoldsThoughTheCopyDoesNotKnowIt() {
     fleet.put(endpoint("a", true));
-    fleet.noteNewEra();
+    fleet.recordNewEra();
     fleet.replaceAll(List.of(endpointOfEra(1, "a")));
-    fleet.judgeUnlisted();
+    fleet.resolveMissing();
     assertEquals(0, usable());
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/HealthWatchTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/HealthCheckerTest.java
@@ -18,16 +18,16 @@
 import java.util.concurrent.TimeoutException;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.vaneworks.coordination.fleet.BackoffRequestedException;
+import org.vaneworks.coordination.fleet.ConnectionRefusedException;
 import org.vaneworks.coordination.fleet.EngineControl;
 import org.vaneworks.coordination.fleet.EngineReport;
 import org.vaneworks.coordination.fleet.Fleet;
 import org.vaneworks.coordination.fleet.FleetEndpoint;
-import org.vaneworks.coordination.fleet.HealthWatch;
+import org.vaneworks.coordination.fleet.HealthChecker;
 import org.vaneworks.coordination.fleet.Incarnation;
-import org.vaneworks.coordination.fleet.NobodyListensException;
 import org.vaneworks.coordination.fleet.RepathOutcome;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
-import org.vaneworks.coordination.fleet.TurnedAwayException;
 import org.vaneworks.state.EndpointStatement;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
@@ -38,13 +38,14 @@
 import org.vaneworks.testlib.PausedExecutor;
 
 /** Checks what makes a node believe that an engine is dead. */
-final class HealthWatchTest {
+final class HealthCheckerTest {
   /** What an engine does when it is asked: it answers after a time, or refuses the connection. */
   private record Reply(Duration after, Optional<Exception> failure) {
     static final Reply ANSWERS = answersAfter(0);
-    static final Reply REFUSES = fails(new NobodyListensException(new ConnectException("refused")));
+    static final Reply REFUSES =
+        fails(new ConnectionRefusedException(new ConnectException("refused")));
     static final Reply BREAKS = fails(new ClosedChannelException());
-    static final Reply TURNS_AWAY = fails(new TurnedAwayException());
+    static final Reply TURNS_AWAY = fails(new BackoffRequestedException());
     static final Reply IS_SILENT = answersAfter(60_000);
 
     static Reply answersAfter(int millis) {
@@ -60,12 +61,12 @@
   private final Fleet fleet =
       Fleet.create(clock, Counters.in(new SimpleMeterRegistry()), Duration.ofMillis(2500));
   private final Queue<Reply> replies = new ArrayDeque<>();
-  private final HealthWatch health = HealthWatch.create(clock, fleet, new Engine());
+  private final HealthChecker health = HealthChecker.create(clock, fleet, new Engine());
   private TrackedEndpoint engine;
   private int asked;
   private int suspicions;
   private double pace = 1;
-  private Incarnation tells = Incarnation.UNTOLD;
+  private Incarnation tells = Incarnation.UNKNOWN;
 
   /** Replies as the test says, and answers once nothing more was said. */
   private final class Engine implements EngineControl {
@@ -107,7 +108,7 @@
   void listEngines() {
     list("a");
     list("b");
-    engine = fleet.of("s").get(0);
+    engine = fleet.listed("s").get(0);
     fleet.onSuspicion(suspected -> suspicions++);
   }
 
@@ -202,7 +203,7 @@
   @Test
   void engineIsGivenThreeTimesTheSlowestAnswerOfTheLastSecond() {
     replies.add(Reply.answersAfter(80));
-    health.check(fleet.of("s").get(1));
+    health.check(fleet.listed("s").get(1));
     clock.advance(Duration.ofMillis(100));
     check(Reply.answersAfter(230));
     clock.advance(Duration.ofSeconds(1));
@@ -213,7 +214,7 @@
   @Test
   void slowAnswerOfLongAgoGivesNoMoreTime() {
     replies.add(Reply.answersAfter(80));
-    health.check(fleet.of("s").get(1));
+    health.check(fleet.listed("s").get(1));
     clock.advance(Duration.ofMillis(1100));
     check(Reply.IS_SILENT, Reply.IS_SILENT);
     clock.advance(Duration.ofMillis(200));
@@ -223,7 +224,7 @@
   @Test
   void engineIsAskedOnceAtATimeHoweverLongItsAnswerTakes() {
     replies.add(Reply.answersAfter(80));
-    health.check(fleet.of("s").get(1));
+    health.check(fleet.listed("s").get(1));
     clock.advance(Duration.ofMillis(100));
     check(Reply.answersAfter(235));
     clock.advance(Duration.ofMillis(220));
@@ -238,7 +239,7 @@
     clock.runDue();
     replies.add(Reply.answersAfter(80));
     clock.advance(Duration.ofMillis(250));
-    health.check(fleet.of("s").get(1));
+    health.check(fleet.listed("s").get(1));
     replies.add(Reply.answersAfter(200));
     clock.advance(Duration.ofMillis(400));
     assertFalse(engine.suspected());
@@ -250,7 +251,7 @@
     fleet.put(
         new FleetEndpoint(
             "c", "s", address, "dc1", 6, false, Optional.empty(), "", StorePosition.START, run));
-    engine = fleet.at("s", address).get();
+    engine = fleet.find("s", address).get();
   }
 
   @Test
@@ -261,7 +262,7 @@
     tells = Incarnation.startedAt(2000);
     clock.advance(Duration.ofSeconds(1));
     assertTrue(engine.hasEnded());
-    assertFalse(fleet.at("s", engine.address()).get().suspected());
+    assertFalse(fleet.find("s", engine.address()).get().suspected());
   }
 
   @Test
@@ -279,18 +280,20 @@
     pace = 3;
     health.checkPace(engine);
     clock.advance(Duration.ofMillis(100));
-    fleet.statements().limits().heard(engine, StatedLimit.of(2));
+    fleet.signals().rateLimits().recordFromEndpoint(engine, StatedLimit.of(2));
     int before = asked;
     clock.advance(Duration.ofSeconds(5));
     assertEquals(before, asked);
-    fleet.statements().limits().heard(engine, StatedLimit.none());
+    fleet.signals().rateLimits().recordFromEndpoint(engine, StatedLimit.none());
     clock.advance(Duration.ofSeconds(2));
     assertTrue(asked > before, asked + " questions");
   }
 
   private void wantsNoCalls(int seconds) {
     StatedBackoff backoff = StatedBackoff.of(Duration.ofSeconds(seconds));
-    fleet.statements().answeredCall(engine.endpoint(), EndpointStatement.NONE.withBackoff(backoff));
+    fleet
+        .signals()
+        .recordCallAnswer(engine.endpoint(), EndpointStatement.NONE.withBackoff(backoff));
   }
 
   @Test
@@ -349,8 +352,8 @@
 
   @Test
   void questionCountsAgainstWhatAnEngineTakes() {
-    fleet.statements().limits().heard(engine, StatedLimit.of(2));
-    engine.startLimit().share(2, 1, clock.currentTime(NANOSECONDS));
+    fleet.signals().rateLimits().recordFromEndpoint(engine, StatedLimit.of(2));
+    engine.rateLimit().setShare(2, 1, clock.currentTime(NANOSECONDS));
     clock.advance(Duration.ofMillis(600));
     assertTrue(engine.usable(clock.currentTime(NANOSECONDS)));
     health.check(engine);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
@@ -252,12 +252,12 @@
   private void fullEngines() {
     for (int i = 0; i < 3; i++) {
       FleetEndpoint engine = node.engine(i + 1, i * 27, Math.min(80, (i + 1) * 27));
-      node.fleet.at(ForwardingFixture.MODEL, engine.address()).get().peersLoad(100, 1e9, 1);
+      node.fleet.find(ForwardingFixture.MODEL, engine.address()).get().setPeerLoad(100, 1e9, 1);
     }
   }
 
   private void emptyEngines() {
-    node.fleet.all().forEach(engine -> engine.peersLoad(0, 0, 1));
+    node.fleet.all().forEach(engine -> engine.setPeerLoad(0, 0, 1));
   }
 
   @Test
@@ -357,7 +357,7 @@
       node.advance(180);
       node.last().event(id);
     }
-    assertEquals(5, node.fleet.of(ForwardingFixture.MODEL).get(0).pace());
+    assertEquals(5, node.fleet.listed(ForwardingFixture.MODEL).get(0).pace());
   }
 
   /** The head and the first event come together; that must not pass for a fast engine. */
@@ -375,7 +375,7 @@
       sent.event(2);
       sent.event(3);
     }
-    assertEquals(12, node.fleet.of(ForwardingFixture.MODEL).get(0).pace());
+    assertEquals(12, node.fleet.listed(ForwardingFixture.MODEL).get(0).pace());
   }
 
   /** Reading a stream again elsewhere has a price, and no run showed that it helps. */
@@ -531,7 +531,7 @@
     node.ask("/once/x");
     HostPort dead = node.last().attempt.endpoint().address();
     node.last().arrived = false;
-    node.fleet.suspect(node.fleet.at(ForwardingFixture.MODEL, dead).get(), "test");
+    node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL, dead).get(), "test");
     assertEquals(2, node.sent.size());
     assertTrue(node.sent.get(0).cancelled);
   }
@@ -546,7 +546,7 @@
     for (int dead = 1; dead <= 3; dead++) {
       node.last().arrived = false;
       HostPort address = node.last().attempt.endpoint().address();
-      node.fleet.suspect(node.fleet.at(ForwardingFixture.MODEL, address).get(), "test");
+      node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL, address).get(), "test");
     }
     assertEquals(3, node.sent.size());
     assertEquals(Verdict.NOT_RUN, got.refusal.get().verdict());
@@ -564,6 +564,6 @@
   }
 
   private void occupy(FleetEndpoint engine) {
-    node.fleet.at(ForwardingFixture.MODEL, engine.address()).get().reserve(10_000);
+    node.fleet.find(ForwardingFixture.MODEL, engine.address()).get().reserve(10_000);
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
@@ -24,8 +24,8 @@
   /** Says so on an answer to a question, which is no request. */
   private void wantsNoCalls(FleetEndpoint endpoint, Duration length) {
     node.fleet
-        .statements()
-        .answeredCall(endpoint, EndpointStatement.NONE.withBackoff(StatedBackoff.of(length)));
+        .signals()
+        .recordCallAnswer(endpoint, EndpointStatement.NONE.withBackoff(StatedBackoff.of(length)));
   }
 
   private void turnAway(Duration length) {
@@ -146,7 +146,7 @@
   @Test
   void laterRunOfAnEndpointThatLeftTakesRequests() {
     FleetEndpoint only = node.replica(1);
-    node.fleet.statements().answeredCall(only, EndpointStatement.NONE.thatLeaves());
+    node.fleet.signals().recordCallAnswer(only, EndpointStatement.NONE.thatLeaves());
     node.startsAgain(only);
     node.ask("/safe/x");
     assertEquals(1, node.sent.size());
@@ -173,7 +173,7 @@
     node.engine(3, 0, 40);
     node.engine(4, 40, 80);
     wantsNoCalls(first, Duration.ofSeconds(10));
-    node.fleet.suspect(node.fleet.at(ForwardingFixture.MODEL, second.address()).get(), "silent");
+    node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL, second.address()).get(), "silent");
     node.advance(1000);
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
@@ -19,7 +19,7 @@
 import org.vaneworks.coordination.fleet.EngineReport;
 import org.vaneworks.coordination.fleet.Fleet;
 import org.vaneworks.coordination.fleet.FleetEndpoint;
-import org.vaneworks.coordination.fleet.HealthWatch;
+import org.vaneworks.coordination.fleet.HealthChecker;
 import org.vaneworks.coordination.fleet.Incarnation;
 import org.vaneworks.coordination.fleet.RepathOutcome;
 import org.vaneworks.coordination.forwarding.Attempt;
@@ -186,7 +186,7 @@
             clock,
             new Random(7),
             fleet,
-            HealthWatch.create(clock, fleet, control),
+            HealthChecker.create(clock, fleet, control),
             control,
             (attempt, listener) -> {
               SentAttempt made = new SentAttempt(attempt, listener);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/PathCrashTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/PathCrashTest.java
@@ -24,12 +24,12 @@
   }
 
   private TrackedEndpoint tracked(FleetEndpoint engine) {
-    return node.fleet.at(ForwardingFixture.MODEL, engine.address()).orElseThrow();
+    return node.fleet.find(ForwardingFixture.MODEL, engine.address()).orElseThrow();
   }
 
   private void end(FleetEndpoint engine) {
     TrackedEndpoint ended = tracked(engine);
-    node.fleet.noteNobodyListens(ended);
+    node.fleet.recordConnectionRefused(ended);
     node.fleet.suspect(ended, "its box refuses connections");
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RestartedEndpointTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RestartedEndpointTest.java
@@ -78,6 +78,6 @@
     node.clock.runDue();
     assertEquals(
         Optional.empty(),
-        node.fleet.at(ForwardingFixture.MODEL, asked.address()).get().endpoint().layers());
+        node.fleet.find(ForwardingFixture.MODEL, asked.address()).get().endpoint().layers());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RunningAnswerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RunningAnswerTest.java
@@ -94,7 +94,7 @@
   void streamThatMakesProgressStaysOnASuspectedEngine() {
     node.control.dead.clear();
     node.engine(2, 0, 80);
-    node.fleet.suspect(node.fleet.at(ForwardingFixture.MODEL, engine.address()).get(), "test");
+    node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL, engine.address()).get(), "test");
     for (int id = 2; id <= 3; id++) {
       node.advance(200);
       running.event(id);
@@ -123,7 +123,7 @@
     full(node.engine(3, 40, 80));
     node.advance(1000);
     assertEquals(1, node.sent.size());
-    node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
+    node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
     node.advance(300);
     assertEquals("e2", node.last().attempt.endpoint().id());
     assertLeftOnceTheOtherAnswers();
@@ -136,7 +136,7 @@
     full(node.engine(3, 40, 80));
     node.advance(400);
     running.event(2);
-    node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
+    node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
     node.advance(100);
     assertEquals(1, node.sent.size());
     running.event(3);
@@ -257,7 +257,10 @@
 
   /** Lets other nodes' requests take all memory of an engine. */
   private void full(FleetEndpoint other) {
-    node.fleet.at(ForwardingFixture.MODEL, other.address()).orElseThrow().peersLoad(100, 1e9, 1);
+    node.fleet
+        .find(ForwardingFixture.MODEL, other.address())
+        .orElseThrow()
+        .setPeerLoad(100, 1e9, 1);
   }
 
   private void spendBudget() {
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/SearchElsewhereTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/SearchElsewhereTest.java
@@ -20,7 +20,10 @@
   private final ForwardingFixture node = new ForwardingFixture();
 
   private void full(FleetEndpoint other) {
-    node.fleet.at(ForwardingFixture.MODEL, other.address()).orElseThrow().peersLoad(100, 1e9, 1);
+    node.fleet
+        .find(ForwardingFixture.MODEL, other.address())
+        .orElseThrow()
+        .setPeerLoad(100, 1e9, 1);
   }
 
   private void budget(double reserve) {
@@ -30,7 +33,7 @@
 
   private void avoid(FleetEndpoint engine) {
     node.fleet
-        .at(ForwardingFixture.MODEL, engine.address())
+        .find(ForwardingFixture.MODEL, engine.address())
         .orElseThrow()
         .avoidUntil(node.now() + Duration.ofSeconds(20).toNanos());
   }
@@ -60,7 +63,7 @@
   }
 
   private boolean suspected(FleetEndpoint engine) {
-    return node.fleet.at(ForwardingFixture.MODEL, engine.address()).orElseThrow().suspected();
+    return node.fleet.find(ForwardingFixture.MODEL, engine.address()).orElseThrow().suspected();
   }
 
   private SentAttempt streaming(String path) {
@@ -161,7 +164,7 @@
     budget(1);
     fallsSilent(engine);
     assertEquals(4, node.sent.size(), "sends before there is room");
-    node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
+    node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
     node.advance(40);
     assertEquals(5, node.sent.size(), "one stream moved");
     assertTrue(waitOfANewRequest() <= 100, "a new request waited while there was room");
@@ -319,7 +322,7 @@
     avoid(engine);
     node.advance(500);
     assertFalse(suspected(engine));
-    node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
+    node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
     node.advance(100);
     assertEquals(1, node.sent.size(), "sends");
     assertFalse(running.cancelled, "cancelled");
@@ -338,7 +341,7 @@
     assertEquals(3, node.sent.size());
     // The budget goes to zero, as by other requests' failures.
     budget(0);
-    node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
+    node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
     assertTrue(waitOfANewRequest() <= 100, "a new request waited while there was room");
   }
 
@@ -357,7 +360,7 @@
     budget(1);
     fallsSilent(engine);
     assertEquals(44, node.sent.size(), "sends before there is room");
-    node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
+    node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
     node.advance(40);
     assertEquals(45, node.sent.size(), "one stream moved");
     assertTrue(waitOfANewRequest() <= 100, "a new request waited while there was room");
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadDatagramsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadDatagramsTest.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.vaneworks.coordination.load.EndpointLimit;
 import org.vaneworks.coordination.load.EndpointLoad;
 import org.vaneworks.coordination.load.EnginePace;
 import org.vaneworks.coordination.load.LoadReport;
+import org.vaneworks.coordination.load.ReportedRateLimit;
 import org.vaneworks.protocol.LoadCodec;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.StatedLimit;
@@ -33,8 +33,8 @@
           ImmutableList.of(new EndpointLoad(-7, 3, 12_000), new EndpointLoad(9, 1, 0)),
           ImmutableList.of(new EnginePace(9, 4.5)),
           ImmutableList.of(
-              new EndpointLimit(-7, StatedLimit.of(3.3), Duration.ofMillis(250)),
-              new EndpointLimit(9, StatedLimit.none(), Duration.ZERO)));
+              new ReportedRateLimit(-7, StatedLimit.of(3.3), Duration.ofMillis(250)),
+              new ReportedRateLimit(9, StatedLimit.none(), Duration.ZERO)));
 
   private static final int REPORTS = 30;
   private static final int MAX_COLLECTIONS = 2000;
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadExchangeTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadExchangeTest.java
@@ -14,11 +14,11 @@
 import org.vaneworks.coordination.fleet.FleetEndpoint;
 import org.vaneworks.coordination.fleet.Incarnation;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
-import org.vaneworks.coordination.load.EndpointLimit;
 import org.vaneworks.coordination.load.EndpointLoad;
 import org.vaneworks.coordination.load.EnginePace;
 import org.vaneworks.coordination.load.LoadExchange;
 import org.vaneworks.coordination.load.LoadReport;
+import org.vaneworks.coordination.load.ReportedRateLimit;
 import org.vaneworks.coordination.shared.Peer;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
@@ -78,19 +78,19 @@
             Optional.of(LayerRange.of(0, 80)),
             "large",
             StorePosition.START));
-    return fleet.at("m", address).get();
+    return fleet.find("m", address).get();
   }
 
   private void peerTells(String sender, int requests, long tokenLayers) {
     EndpointLoad load =
         new EndpointLoad(EndpointLoad.keyOf(engine.endpoint()), requests, tokenLayers);
-    exchange.heard(LoadReport.ofNode(sender, ImmutableList.of(load)));
+    exchange.receive(LoadReport.ofNode(sender, ImmutableList.of(load)));
   }
 
   /** Lets time pass; then endpoints are looked at to choose from, as before each request. */
   private void advance(int millis) {
     clock.advance(Duration.ofMillis(millis));
-    fleet.of("m");
+    fleet.listed("m");
   }
 
   @Test
@@ -119,8 +119,8 @@
     peerTells("one", 7, 70_000);
     peerTells("two", 2, 20_000);
     advance(50);
-    assertEquals(10, engine.requestsOfAll(), EXACT);
-    assertEquals(95_000, engine.tokenLayersOfAll(), EXACT);
+    assertEquals(10, engine.totalRequests(), EXACT);
+    assertEquals(95_000, engine.totalTokenLayers(), EXACT);
   }
 
   @Test
@@ -130,7 +130,7 @@
     peerTells("two", 0, 0);
     peerTells("one", 3, 30_000);
     advance(50);
-    assertEquals(3, engine.requestsOfAll());
+    assertEquals(3, engine.totalRequests());
   }
 
   @Test
@@ -138,11 +138,11 @@
     exchange.start();
     engine.reserve(5000);
     advance(50);
-    assertEquals(3, engine.requestsOfAll());
+    assertEquals(3, engine.totalRequests());
     advance(LONG_AGO_MILLIS);
     peerTells("one", 5, 50_000);
     advance(50);
-    assertEquals(9, engine.requestsOfAll(), EXACT);
+    assertEquals(9, engine.totalRequests(), EXACT);
   }
 
   @Test
@@ -151,9 +151,9 @@
     liveNodes = 1;
     peerTells("one", 7, 70_000);
     advance(1400);
-    assertEquals(7, engine.requestsOfAll());
+    assertEquals(7, engine.totalRequests());
     advance(200);
-    assertEquals(0, engine.requestsOfAll());
+    assertEquals(0, engine.totalRequests());
   }
 
   @Test
@@ -162,7 +162,7 @@
     liveNodes = 1;
     peerTells("here", 7, 70_000);
     advance(50);
-    assertEquals(0, engine.requestsOfAll());
+    assertEquals(0, engine.totalRequests());
   }
 
   @Test
@@ -181,7 +181,7 @@
     advance(10);
     peerTells("one", 7, 70_000);
     advance(80);
-    LoadReport sum = reports.stream().filter(LoadReport::ofGroup).findFirst().orElseThrow();
+    LoadReport sum = reports.stream().filter(LoadReport::isGroupTotal).findFirst().orElseThrow();
     assertEquals(
         ImmutableList.of(new EndpointLoad(EndpointLoad.keyOf(engine.endpoint()), 8, 75_000)),
         sum.loads());
@@ -198,7 +198,7 @@
     groupTells("far2", "dc2/1/0", 4);
     groupTells("far3", "dc3/1/0", 2);
     advance(50);
-    assertEquals(6, engine.requestsOfAll());
+    assertEquals(6, engine.totalRequests());
   }
 
   @Test
@@ -209,7 +209,7 @@
     advance(50);
     groupTells("one", "dc1/1/0", 8);
     advance(50);
-    assertEquals(7, engine.requestsOfAll());
+    assertEquals(7, engine.totalRequests());
   }
 
   @Test
@@ -247,17 +247,17 @@
     peerTells("two", 0, 0);
     advance(50);
     engine.reserve(1000);
-    assertEquals(3, engine.requestsOfAll());
-    assertEquals(3000, engine.tokenLayersOfAll());
+    assertEquals(3, engine.totalRequests());
+    assertEquals(3000, engine.totalTokenLayers());
     peerTells("one", 0, 0);
     peerTells("two", 0, 0);
     advance(400);
-    assertEquals(1, engine.requestsOfAll(), 0.1);
+    assertEquals(1, engine.totalRequests(), 0.1);
   }
 
   private void groupTells(String sender, String group, int requests) {
     EndpointLoad load = new EndpointLoad(EndpointLoad.keyOf(engine.endpoint()), requests, 0);
-    exchange.heard(
+    exchange.receive(
         new LoadReport(
             sender, group, 2, ImmutableList.of(load), ImmutableList.of(), ImmutableList.of(), 0));
   }
@@ -267,7 +267,7 @@
   }
 
   private void peerKnowsSlow(String sender, ImmutableList<EnginePace> slow) {
-    exchange.heard(LoadReport.ofNode(sender, ImmutableList.of(), slow, ImmutableList.of()));
+    exchange.receive(LoadReport.ofNode(sender, ImmutableList.of(), slow, ImmutableList.of()));
   }
 
   /** The load of an engine that turned slow: each of many nodes would find out by a late stream. */
@@ -302,7 +302,7 @@
     exchange.start();
     peerKnowsSlow("one", slow(5));
     advance(100);
-    assertEquals(ImmutableList.of(), last.slow());
+    assertEquals(ImmutableList.of(), last.slowEngines());
   }
 
   @Test
@@ -311,8 +311,8 @@
     exchange.start();
     peerKnowsSlow("one", slow(5));
     advance(50);
-    assertTrue(last.ofGroup());
-    assertEquals(slow(5), last.slow());
+    assertTrue(last.isGroupTotal());
+    assertEquals(slow(5), last.slowEngines());
   }
 
   @Test
@@ -323,10 +323,10 @@
     peerTells("one", 7, 70_000);
     peerTells("two", 0, 0);
     advance(100);
-    assertEquals(7, engine.requestsOfAll(), 0.1);
+    assertEquals(7, engine.totalRequests(), 0.1);
     engineStartsAgain();
     advance(100);
-    assertEquals(0, fleet.at("m", listed.address()).get().requestsOfAll(), 0.1);
+    assertEquals(0, fleet.find("m", listed.address()).get().totalRequests(), 0.1);
   }
 
   /** Nodes wait for traffic most of a night; each report costs them and their peers time. */
@@ -356,12 +356,12 @@
     advance(2000);
     engine.reserve(5000);
     advance(250);
-    exchange.heard(LoadReport.ofNode("one", ImmutableList.of()));
-    exchange.heard(LoadReport.ofNode("two", ImmutableList.of()));
+    exchange.receive(LoadReport.ofNode("one", ImmutableList.of()));
+    exchange.receive(LoadReport.ofNode("two", ImmutableList.of()));
     advance(1900);
-    assertEquals(1, engine.requestsOfAll(), 0.1);
+    assertEquals(1, engine.totalRequests(), 0.1);
     advance(300);
-    assertEquals(3, engine.requestsOfAll(), 0.1);
+    assertEquals(3, engine.totalRequests(), 0.1);
   }
 
   private void engineStartsAgain() {
@@ -381,15 +381,15 @@
   }
 
   private void peerTellsLimit(StatedLimit limit, int ageMillis) {
-    EndpointLimit told =
-        new EndpointLimit(
+    ReportedRateLimit told =
+        new ReportedRateLimit(
             EndpointLoad.keyOf(engine.endpoint()), limit, Duration.ofMillis(ageMillis));
-    exchange.heard(
+    exchange.receive(
         LoadReport.ofNode("one", ImmutableList.of(), ImmutableList.of(), ImmutableList.of(told)));
   }
 
   private void engineSays(StatedLimit limit) {
-    fleet.statements().limits().heard(engine, limit);
+    fleet.signals().rateLimits().recordFromEndpoint(engine, limit);
   }
 
   @Test
@@ -397,8 +397,8 @@
     exchange.start();
     engineSays(StatedLimit.of(3));
     advance(200);
-    EndpointLimit told = last.limits().get(0);
-    assertEquals(StatedLimit.of(3), told.stated());
+    ReportedRateLimit told = last.limits().get(0);
+    assertEquals(StatedLimit.of(3), told.limit());
     assertTrue(told.age().toMillis() >= 100 && told.age().toMillis() <= 200, told.toString());
   }
 
@@ -408,7 +408,7 @@
     engineSays(StatedLimit.of(3));
     engineSays(StatedLimit.none());
     advance(1000);
-    assertEquals(StatedLimit.none(), last.limits().get(0).stated());
+    assertEquals(StatedLimit.none(), last.limits().get(0).limit());
     advance(5000);
     assertEquals(ImmutableList.of(), last.limits());
   }
@@ -418,7 +418,7 @@
     exchange.start();
     peerTellsLimit(StatedLimit.of(3), 0);
     advance(200);
-    assertEquals(ImmutableList.of(engine), fleet.statements().limits().inForce());
+    assertEquals(ImmutableList.of(engine), fleet.signals().rateLimits().inForce());
     assertEquals(ImmutableList.of(), last.limits());
   }
 
@@ -431,8 +431,11 @@
     peerTellsLimit(StatedLimit.of(3), 0);
     advance(300);
     LoadReport ofGroup =
-        reports.stream().filter(LoadReport::ofGroup).reduce((first, later) -> later).orElseThrow();
-    assertEquals(StatedLimit.of(3), ofGroup.limits().get(0).stated());
+        reports.stream()
+            .filter(LoadReport::isGroupTotal)
+            .reduce((first, later) -> later)
+            .orElseThrow();
+    assertEquals(StatedLimit.of(3), ofGroup.limits().get(0).limit());
   }
 
   @Test
@@ -440,18 +443,18 @@
     engineSays(StatedLimit.of(3));
     advance(1000);
     peerTellsLimit(StatedLimit.none(), 2000);
-    assertEquals(ImmutableList.of(engine), fleet.statements().limits().inForce());
+    assertEquals(ImmutableList.of(engine), fleet.signals().rateLimits().inForce());
     peerTellsLimit(StatedLimit.none(), 100);
-    assertEquals(ImmutableList.of(), fleet.statements().limits().inForce());
+    assertEquals(ImmutableList.of(), fleet.signals().rateLimits().inForce());
     peerTellsLimit(StatedLimit.of(3), 500);
-    assertEquals(ImmutableList.of(), fleet.statements().limits().inForce());
+    assertEquals(ImmutableList.of(), fleet.signals().rateLimits().inForce());
   }
 
   @Test
   void unreadableWordChangesNothing() {
     engineSays(StatedLimit.of(3));
     engineSays(StatedLimit.unreadable());
-    assertEquals(ImmutableList.of(engine), fleet.statements().limits().inForce());
+    assertEquals(ImmutableList.of(engine), fleet.signals().rateLimits().inForce());
   }
 
   @Test
@@ -459,13 +462,13 @@
     engineSays(StatedLimit.of(3));
     engineStartsAgain();
     peerTellsLimit(StatedLimit.of(3), 0);
-    assertEquals(ImmutableList.of(), fleet.statements().limits().inForce());
+    assertEquals(ImmutableList.of(), fleet.signals().rateLimits().inForce());
   }
 
   @Test
   void newestConfigurationThatTheNodeHasSeenIsTold() {
     exchange.start();
     advance(200);
-    assertEquals(7, last.configuration());
+    assertEquals(7, last.configurationVersion());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/StartSharesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/RateLimitSharesTest.java
@@ -14,7 +14,7 @@
 import org.vaneworks.coordination.fleet.Fleet;
 import org.vaneworks.coordination.fleet.FleetEndpoint;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
-import org.vaneworks.coordination.load.StartShares;
+import org.vaneworks.coordination.load.RateLimitShares;
 import org.vaneworks.coordination.shared.Peer;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
@@ -24,7 +24,7 @@
 import org.vaneworks.testlib.PausedExecutor;
 
 /** Checks which nodes share what an endpoint takes. */
-final class StartSharesTest {
+final class RateLimitSharesTest {
   private static final double LIMIT = 3.2;
 
   /** Shares are told apart by the starts that they allow in that time. */
@@ -61,20 +61,20 @@
               Optional.of(LayerRange.of(0, 80)),
               "large",
               StorePosition.START));
-      engine = fleet.at("m", address).orElseThrow();
-      StartShares.keep(
+      engine = fleet.find("m", address).orElseThrow();
+      RateLimitShares.maintain(
           clock, new Random(box.hashCode()), fleet, box, dataCentre, () -> peersOf(box));
     }
 
     /** Returns how many requests it may begin in a while, each as soon as it may. */
     int startsInAWhile(double limit) {
-      fleet.statements().limits().heard(engine, StatedLimit.of(limit));
+      fleet.signals().rateLimits().recordFromEndpoint(engine, StatedLimit.of(limit));
       int starts = 0;
       for (int tick = 0; tick < SECONDS * 1000 / TICK_MILLIS; tick++) {
         clock.advance(Duration.ofMillis(TICK_MILLIS));
         starts += begin() ? 1 : 0;
         if (tick % 100 == 0) {
-          fleet.statements().limits().heard(engine, StatedLimit.of(limit));
+          fleet.signals().rateLimits().recordFromEndpoint(engine, StatedLimit.of(limit));
         }
       }
       return starts;
@@ -83,7 +83,7 @@
     boolean begin() {
       boolean open = !fleet.usable("m").isEmpty();
       if (open) {
-        fleet.statements().noteCall(engine, CallPurpose.FIRST_SEND);
+        fleet.signals().recordCall(engine, CallPurpose.FIRST_SEND);
       }
       return open;
     }
@@ -140,7 +140,7 @@
   void startsAreNotSavedUp() {
     boxes = ImmutableList.of("box-0");
     Node node = new Node("box-0", "dc1");
-    node.fleet.statements().limits().heard(node.engine, StatedLimit.of(LIMIT));
+    node.fleet.signals().rateLimits().recordFromEndpoint(node.engine, StatedLimit.of(LIMIT));
     node.begin();
     clock.advance(Duration.ofSeconds(8));
     assertTrue(node.begin());
@@ -150,7 +150,7 @@
   @Test
   void nodeWithoutAShareTriesTheEndpointOnceItsWordIsOld() {
     Node node = new Node("box-1", "dc2");
-    node.fleet.statements().limits().heard(node.engine, StatedLimit.of(LIMIT));
+    node.fleet.signals().rateLimits().recordFromEndpoint(node.engine, StatedLimit.of(LIMIT));
     int starts = 0;
     for (int tick = 0; tick < 3 * SECONDS * 1000 / TICK_MILLIS; tick++) {
       clock.advance(Duration.ofMillis(TICK_MILLIS));
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import org.vaneworks.coordination.fleet.BackoffRequestedException;
 import org.vaneworks.coordination.fleet.EngineControl;
 import org.vaneworks.coordination.fleet.EngineReport;
 import org.vaneworks.coordination.fleet.Fleet;
@@ -22,7 +23,6 @@
 import org.vaneworks.coordination.fleet.Incarnation;
 import org.vaneworks.coordination.fleet.RepathOutcome;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
-import org.vaneworks.coordination.fleet.TurnedAwayException;
 import org.vaneworks.coordination.placement.PlacementController;
 import org.vaneworks.state.EndpointStatement;
 import org.vaneworks.state.HostPort;
@@ -59,10 +59,10 @@
       if (wantsNoCalls) {
         EndpointStatement said =
             EndpointStatement.NONE.withBackoff(StatedBackoff.of(Duration.ofSeconds(3)));
-        fleet.statements().answeredCall(engine, said);
-        return CompletableFuture.failedFuture(new TurnedAwayException());
+        fleet.signals().recordCallAnswer(engine, said);
+        return CompletableFuture.failedFuture(new BackoffRequestedException());
       }
-      FleetEndpoint now = fleet.at("m", engine.address()).get().endpoint();
+      FleetEndpoint now = fleet.find("m", engine.address()).get().endpoint();
       return CompletableFuture.completedFuture(
           new EngineReport(
               orders.getOrDefault(engine.id(), 0L),
@@ -70,7 +70,7 @@
               now.layers(),
               1,
               ImmutableMap.of(),
-              startedAt.getOrDefault(engine.id(), Incarnation.UNTOLD)));
+              startedAt.getOrDefault(engine.id(), Incarnation.UNKNOWN)));
     }
 
     @Override
@@ -163,7 +163,7 @@
   }
 
   private boolean everyLayerIsHeld() {
-    return fleet.holdsAll("m", 80);
+    return fleet.coversAllLayers("m", 80);
   }
 
   // Guards against a served range that is given up for a range decided while its load was under
@@ -228,7 +228,7 @@
   @Test
   void engineThatCouldNotBeOrderedKeepsItsLayersOnceTheHoleIsClosed() {
     TrackedEndpoint silent = holeWhileEnginesWantNoCalls();
-    fleet.clear(silent);
+    fleet.clearSuspicion(silent);
     advance(10_000);
     assertEquals(List.of(), engines.loads);
   }
@@ -250,7 +250,7 @@
     engines.wantsNoCalls = true;
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
-    TrackedEndpoint silent = fleet.at("m", address).get();
+    TrackedEndpoint silent = fleet.find("m", address).get();
     fleet.suspect(silent, "test");
     advance(1000);
     assertEquals(1, engines.reports);
@@ -270,7 +270,7 @@
     controller(() -> firstFence);
     advance(1000);
     assertEquals(List.of("a 37-71"), engines.loads);
-    fleet.at("m", address).get().reserve(1);
+    fleet.find("m", address).get().reserve(1);
     firstFence = OptionalLong.empty();
     advance(500);
     firstFence = OptionalLong.of(7);
@@ -476,7 +476,7 @@
     fleet.remove("e0");
     list("e9", new HostPort("10.0.0.9", 80), Optional.empty());
     advance(5000);
-    assertTrue(fleet.at("m", new HostPort("10.0.0.9", 80)).get().endpoint().layers().isPresent());
+    assertTrue(fleet.find("m", new HostPort("10.0.0.9", 80)).get().endpoint().layers().isPresent());
     assertTrue(everyLayerIsHeld());
   }
 
@@ -499,7 +499,7 @@
             "large",
             StorePosition.START,
             first));
-    TrackedEndpoint former = fleet.at("m", address).get();
+    TrackedEndpoint former = fleet.find("m", address).get();
     engines.startedAt.put("e0", Incarnation.startedAt(2000));
     controller(() -> OptionalLong.of(5));
     int ticksOfTheFormer = 0;
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/EndedEndpointsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/EndedEndpointsTest.java
@@ -78,13 +78,13 @@
   @Test
   void refusedConnectionAfterABrokenOneShowsTheEnd() {
     ended.lost(endpoint, RequestStart.of(CONTENT), JUST_NOW);
-    fleet.noteNobodyListens(endpoint);
+    fleet.recordConnectionRefused(endpoint);
     assertPutDown();
   }
 
   @Test
   void requestThatIsLostAfterTheEndIsKnownIsSuspectedToo() {
-    fleet.noteNobodyListens(endpoint);
+    fleet.recordConnectionRefused(endpoint);
     ended.lost(endpoint, RequestStart.of(CONTENT), JUST_NOW);
     assertPutDown();
   }
@@ -115,7 +115,7 @@
   @Test
   void requestThatHadRunForLongerIsNotSuspected() {
     ended.lost(endpoint, RequestStart.of(CONTENT), EndedEndpoints.JUST_BEGUN.plusMillis(1));
-    fleet.noteNobodyListens(endpoint);
+    fleet.recordConnectionRefused(endpoint);
     assertEquals(List.of(), ends);
   }
 
@@ -123,18 +123,18 @@
   void refusalLongAfterABrokenConnectionSaysNothingOfIt() {
     ended.lost(endpoint, RequestStart.of(CONTENT), JUST_NOW);
     clock.advance(Duration.ofSeconds(8));
-    fleet.noteNobodyListens(endpoint);
+    fleet.recordConnectionRefused(endpoint);
     assertEquals(List.of(), ends);
   }
 
   @Test
   void endpointThatAnswersAgainMayEndAgain() {
     fleet.suspect(endpoint, "test");
-    fleet.noteNobodyListens(endpoint);
-    fleet.clear(endpoint);
+    fleet.recordConnectionRefused(endpoint);
+    fleet.clearSuspicion(endpoint);
     ended.lost(endpoint, RequestStart.of(CONTENT), JUST_NOW);
     assertEquals(List.of(), ends);
-    fleet.noteNobodyListens(endpoint);
+    fleet.recordConnectionRefused(endpoint);
     assertPutDown();
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/relay/PathPlannerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/relay/PathPlannerTest.java
@@ -54,7 +54,7 @@
             Optional.of(LayerRange.of(from, to)),
             kind,
             StorePosition.START));
-    return fleet.at("m", address).get();
+    return fleet.find("m", address).get();
   }
 
   private static PathPlanner.Query query() {
@@ -62,7 +62,7 @@
   }
 
   private Optional<EnginePath> plan() {
-    return planner.plan(query(), fleet.of("m"));
+    return planner.plan(query(), fleet.listed("m"));
   }
 
   @Test
@@ -107,7 +107,7 @@
     Set<TrackedEndpoint> chosen = new HashSet<>();
     for (int node = 0; node < 20; node++) {
       PathPlanner other = PathPlanner.create(new Random(node));
-      chosen.add(other.plan(query(), fleet.of("m")).get().first());
+      chosen.add(other.plan(query(), fleet.listed("m")).get().first());
     }
     assertTrue(chosen.size() >= 8, chosen.toString());
   }
@@ -119,7 +119,7 @@
     engine(3, "dc1", "large", 10, 80);
     for (int node = 0; node < 50; node++) {
       PathPlanner other = PathPlanner.create(new Random(node));
-      assertEquals(fast, other.plan(query(), fleet.of("m")).get().first());
+      assertEquals(fast, other.plan(query(), fleet.listed("m")).get().first());
     }
   }
 
@@ -133,7 +133,7 @@
       fast.reserve(1000 * 36.0);
     }
     // Seven other nodes with as much each.
-    fast.peersLoad(28, 28 * 1000 * 36.0, 1);
+    fast.setPeerLoad(28, 28 * 1000 * 36.0, 1);
     assertEquals(slow, plan().get().first());
   }
 
@@ -143,7 +143,7 @@
     TrackedEndpoint slow = engine(2, "dc1", "middle", 0, 20);
     engine(3, "dc1", "large", 20, 57);
     engine(4, "dc1", "large", 44, 80);
-    fast.peersLoad(32, 32 * 1000 * 36.0, 1);
+    fast.setPeerLoad(32, 32 * 1000 * 36.0, 1);
     assertEquals(slow, plan().get().first());
   }
 
@@ -153,7 +153,7 @@
     TrackedEndpoint second = engine(2, "dc1", "large", 0, 30);
     engine(3, "dc1", "large", 30, 80);
     for (int i = 0; i < 10; i++) {
-      first.noteShortage(0);
+      first.recordShortage(0);
     }
     first.reserve(1000);
     assertEquals(second, plan().get().first());
@@ -184,7 +184,7 @@
     TrackedEndpoint first = engine(1, "dc1", "large", 0, 40);
     engine(2, "dc1", "large", 30, 80);
     PathPart part = new PathPart(first, LayerRange.of(0, 35));
-    EnginePath path = planner.replan(query(), fleet.of("m"), part).get();
+    EnginePath path = planner.replan(query(), fleet.listed("m"), part).get();
     assertEquals(part, path.parts().get(0));
     assertEquals(LayerRange.of(35, 80), path.parts().get(1).layers());
   }
@@ -194,7 +194,7 @@
     randomEngines(new Random(seed), 0);
     Optional<EnginePath> path = plan();
     boolean[] held = new boolean[LAYERS];
-    for (TrackedEndpoint engine : fleet.of("m")) {
+    for (TrackedEndpoint engine : fleet.listed("m")) {
       LayerRange range = engine.endpoint().layers().get();
       for (int layer = range.from(); layer < range.to(); layer++) {
         held[layer] = true;
@@ -225,7 +225,7 @@
         Models.eightyLayers().accelerator(engine.endpoint().accelerator()).get();
     int held = engine.endpoint().layers().get().size();
     double room = Models.eightyLayers().roomTokenLayers(accelerator, held);
-    double needed = engine.tokenLayersOfAll() + 1000.0 * part.layers().size();
+    double needed = engine.totalTokenLayers() + 1000.0 * part.layers().size();
     // One that is described as too small for its own layers refuses by itself.
     assertTrue(room <= 0 || needed <= room, part + " needs " + needed + " of " + room);
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EndpointConnectionsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EndpointConnectionsTest.java
@@ -23,8 +23,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import org.vaneworks.coordination.fleet.ConnectionRefusedException;
 import org.vaneworks.coordination.fleet.FleetEndpoint;
-import org.vaneworks.coordination.fleet.NobodyListensException;
 import org.vaneworks.coordination.forwarding.AnswerHead;
 import org.vaneworks.coordination.forwarding.Attempt;
 import org.vaneworks.coordination.forwarding.EndpointCalls.EndpointCall;
@@ -79,7 +79,7 @@
       io.execute(() -> sent.complete(connections.send(attempt(address), outcome)));
       assertFalse(outcome.answered.get(SECONDS, TimeUnit.SECONDS));
       assertFalse(sent.get(SECONDS, TimeUnit.SECONDS).mayHaveArrived());
-      assertInstanceOf(NobodyListensException.class, outcome.cause);
+      assertInstanceOf(ConnectionRefusedException.class, outcome.cause);
     }
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Backoff.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Backoff.java
@@ -3,20 +3,21 @@
 import java.time.Duration;
 
 /**
- * The time for which an endpoint wants no calls from this node.
+ * The period during which an endpoint has asked this node not to call it.
  *
- * <p>Other nodes may have none, or another one. Confined to the node's event loop.
+ * <p>The endpoint may have asked other nodes for a different period, or for none. Confined to the
+ * node's event loop.
  */
 final class Backoff {
-  /** Calls that requests already at the endpoint may need meanwhile. */
-  private static final int MOST_URGENT_CALLS = 1;
+  /** Calls that requests already running at the endpoint may need during the backoff. */
+  private static final int MAX_URGENT_CALLS = 1;
 
   private long endsAt = Long.MIN_VALUE;
   private int calls;
 
   Backoff() {}
 
-  /** Takes a further request of the endpoint: the one that ends last counts. */
+  /** Extends the backoff to the given length from now, unless it already ends later. */
   void extend(Duration length, long nowNanos) {
     if (!isInForce(nowNanos)) {
       calls = 0;
@@ -24,26 +25,32 @@
     endsAt = Math.max(endsAt, nowNanos + length.toNanos());
   }
 
-  /** Returns whether the endpoint wants no calls at that time. */
+  /** Returns whether the backoff is in force at the given time. */
   boolean isInForce(long nowNanos) {
     return nowNanos < endsAt;
   }
 
-  /** Returns whether a call on which a request at the endpoint hangs may be made at that time. */
+  /**
+   * Returns whether an urgent call, one that a request at the endpoint depends on, may be made at
+   * the given time.
+   */
   boolean admitsUrgentCall(long nowNanos) {
-    return !isInForce(nowNanos) || calls < MOST_URGENT_CALLS;
+    return !isInForce(nowNanos) || calls < MAX_URGENT_CALLS;
   }
 
-  /** Returns when it ends, on the node's clock in nanoseconds; the smallest value if none began. */
+  /**
+   * Returns the end of the backoff in nanoseconds on the node's clock, or {@link Long#MIN_VALUE} if
+   * there never was one.
+   */
   long endsAt() {
     return endsAt;
   }
 
-  void noteCall() {
+  void recordCall() {
     calls++;
   }
 
-  /** Returns the calls that this node made since it began. */
+  /** Returns the number of calls that this node made since the backoff began. */
   int calls() {
     return calls;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/CallPurpose.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/CallPurpose.java
@@ -1,20 +1,23 @@
 package org.vaneworks.coordination.fleet;
 
-/** Why this node calls an endpoint. */
+/** The reason for which this node calls an endpoint. */
 public enum CallPurpose {
-  /** A caller's request for the first time. */
+  /** The first attempt at a caller's request. */
   FIRST_SEND("first-send"),
-  /** A caller's request once more, or the rest of its answer. */
+  /** A retry of a caller's request, or a call that resumes its answer. */
   REPEATED_SEND("repeated-send"),
-  /** A request that another engine passes on to it. */
-  LATER_PART("later-part"),
-  /** A question for its report, because requests through it stand still or it is suspected. */
-  SIGN_OF_LIFE("sign-of-life"),
-  /** A question for its report, because it may be slow. */
+  /** A request that another engine forwards to the endpoint as a later hop of a path. */
+  LATER_HOP("later-part"),
+  /**
+   * A request for the engine's report, because requests through the engine are stalled or it is
+   * suspected.
+   */
+  HEALTH_CHECK("sign-of-life"),
+  /** A request for the engine's report, because the engine may be slow. */
   PACE("pace"),
-  /** A question for its report or an order, about the layers that it holds. */
+  /** A request for the engine's report, or an order, about the layers that the engine holds. */
   PLACEMENT("placement"),
-  /** An order for another path of a request that it runs. */
+  /** An order to change the path of a request that the engine runs. */
   PATH_CHANGE("path-change");
 
   private final String label;
@@ -23,17 +26,17 @@
     this.label = label;
   }
 
-  /** Returns whether it is one of the requests a second that an endpoint may limit. */
+  /** Returns whether such a call counts against the endpoint's rate limit. */
   boolean countsAgainstLimit() {
     return this != PLACEMENT && this != PATH_CHANGE;
   }
 
-  /** Returns whether a request that is already at an endpoint hangs on the call. */
+  /** Returns whether a request that is already at an endpoint depends on such a call. */
   boolean isUrgent() {
-    return this == SIGN_OF_LIFE || this == PATH_CHANGE;
+    return this == HEALTH_CHECK || this == PATH_CHANGE;
   }
 
-  /** Returns its name in meters and logs. */
+  /** Returns the name of this purpose in metrics and logs. */
   public String label() {
     return label;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointBackoffs.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointBackoffs.java
@@ -11,7 +11,7 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * Which endpoints want no calls from this node for a time.
+ * Tracks the endpoints that asked this node for a backoff.
  *
  * <p>Confined to the node's event loop.
  */
@@ -26,20 +26,21 @@
   }
 
   /**
-   * Takes what an endpoint's answer to this node says.
+   * Processes the backoff that an endpoint's answer to this node asks for.
    *
-   * @param backoff of the run that answered, also if that has lapsed from the list
+   * @param backoff the backoff of the incarnation that answered, even if that incarnation is no
+   *     longer listed
    */
-  void heard(FleetEndpoint endpoint, Backoff backoff, StatedBackoff stated) {
-    if (stated.isUnreadable()) {
+  void recordAnswer(FleetEndpoint endpoint, Backoff backoff, StatedBackoff requested) {
+    if (requested.isUnreadable()) {
       counters.count(Metric.ENDPOINT_BACKOFFS, "unreadable");
       EventLog.warn(Event.ENDPOINT_BACKOFF_UNREADABLE, "endpoint", endpoint.id());
-    } else if (stated.isAsked()) {
-      take(endpoint, backoff, stated);
+    } else if (requested.isAsked()) {
+      apply(endpoint, backoff, requested);
     }
   }
 
-  private void take(FleetEndpoint endpoint, Backoff backoff, StatedBackoff stated) {
+  private void apply(FleetEndpoint endpoint, Backoff backoff, StatedBackoff requested) {
     counters.count(Metric.ENDPOINT_BACKOFFS, "asked");
     if (!backoff.isInForce(now())) {
       EventLog.info(
@@ -47,29 +48,29 @@
           "endpoint",
           endpoint.id(),
           "asked",
-          stated,
+          requested,
           "callsDuringLast",
           backoff.calls());
     }
-    backoff.extend(stated.length(), now());
+    backoff.extend(requested.length(), now());
     lastEndsAt = Math.max(lastEndsAt, backoff.endsAt());
   }
 
-  /** Returns whether any endpoint may want no calls. */
+  /** Returns whether a backoff of any endpoint may be in force. */
   boolean anyInForce() {
     return now() < lastEndsAt;
   }
 
-  /** Returns whether an endpoint takes a call for a purpose now. */
+  /** Returns whether an endpoint's backoff permits a call for the given purpose now. */
   boolean admits(TrackedEndpoint endpoint, CallPurpose purpose) {
     Backoff backoff = endpoint.backoff();
     return purpose.isUrgent() ? backoff.admitsUrgentCall(now()) : !backoff.isInForce(now());
   }
 
-  /** Counts a call to an endpoint that wants none. */
-  void noteCall(TrackedEndpoint endpoint, CallPurpose purpose) {
+  /** Counts a call that is made to an endpoint during its backoff. */
+  void recordCall(TrackedEndpoint endpoint, CallPurpose purpose) {
     if (endpoint.backoff().isInForce(now())) {
-      endpoint.backoff().noteCall();
+      endpoint.backoff().recordCall();
       counters.count(Metric.BACKOFF_CALLS, purpose.label());
     }
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineControl.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineControl.java
@@ -8,51 +8,54 @@
 import org.vaneworks.state.LayerRange;
 
 /**
- * Calls to engines beside the requests that they run.
+ * Control calls to engines, apart from the requests that they run.
  *
- * <p>An implementation sends each call at most once. A failed future means that no answer came: an
- * order may have been taken, or may be carried out later.
+ * <p>An implementation sends each call at most once. A failed future means that no answer arrived:
+ * an order may still have been accepted, or may be carried out later.
  */
 public interface EngineControl {
-  /** How an engine answered an order. */
+  /** The answer of an engine to an order. */
   enum OrderOutcome {
-    /** It began, or what was ordered holds already. */
+    /** The engine began to carry out the order, or is already in the ordered state. */
     ACCEPTED,
-    /** It does not fit the engine's state, or another order came first. */
+    /** The order conflicts with the engine's state, or another order arrived first. */
     CONFLICT,
-    /** A higher fence was used before. */
+    /** The engine has seen a higher fencing token. */
     FENCED,
-    /** Another process has the address. */
+    /** Another process listens on the address. */
     OTHER_ENDPOINT,
-    /** The engine refused for another reason. */
+    /** The engine refused for any other reason. */
     REFUSED
   }
 
   /**
-   * What an order to hold a range is bound to.
+   * The preconditions of an order to hold a range of layers.
    *
-   * @param fence rises with each controller
-   * @param expectedOrders the number of orders that the engine must have taken before
+   * @param fence the fencing token, which increases with each controller
+   * @param expectedOrders the number of orders that the engine must have accepted before
    */
   record OrderGuard(long fence, long expectedOrders) {}
 
-  /** Asks an engine for its state; also shows that it is alive. */
+  /** Requests an engine's report, which also shows that the engine is alive. */
   CompletableFuture<EngineReport> report(FleetEndpoint engine, Duration limit);
 
   /** Orders an engine to hold exactly these layers. */
   CompletableFuture<OrderOutcome> hold(FleetEndpoint engine, LayerRange layers, OrderGuard guard);
 
   /**
-   * Orders the first engine of a request's path to go on over another path.
+   * Orders the first engine of a request's path to switch to another path.
    *
-   * @param requestId the caller's name of the request
-   * @param path the new path in the wire's form, with the same first part
+   * @param requestId the caller's ID of the request
+   * @param path the new path in wire format, with the same first hop
    */
   CompletableFuture<RepathOutcome> repath(FleetEndpoint first, String requestId, String path);
 
-  /** Calls back with what an engine says of itself on an answer, before the answer is taken. */
+  /**
+   * Registers a listener for the signals on an engine's answer, called before the answer is
+   * processed.
+   */
   default void onStatement(BiConsumer<FleetEndpoint, EndpointStatement> listener) {}
 
-  /** Closes what connects to an address whose process is gone. */
+  /** Closes the connections to an address whose process is down. */
   default void forget(HostPort address) {}
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineReport.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineReport.java
@@ -6,14 +6,14 @@
 import org.vaneworks.state.LayerRange;
 
 /**
- * An engine's state as it tells it, some hundred milliseconds old.
+ * An engine's report of its own state, up to some hundred milliseconds old.
  *
- * @param ordersTaken orders that it has begun since it started
- * @param orderInProgress whether it is loading or giving up layers
- * @param layers the layers that it holds
- * @param pace over 1 if it is slower than its kind
- * @param stalledOn for requests that stand still, the engine that they wait for
- * @param incarnation which run of its process tells this
+ * @param ordersTaken number of orders that the engine has begun since its start
+ * @param orderInProgress whether the engine is loading or releasing layers
+ * @param layers the layers that the engine holds
+ * @param pace the engine's step time as a multiple of that of its kind; above 1 if it is slower
+ * @param stalledOn for each stalled request, by its ID, the address of the engine that it waits for
+ * @param incarnation the incarnation that sent the report
  */
 public record EngineReport(
     long ordersTaken,
@@ -22,13 +22,13 @@
     double pace,
     ImmutableMap<String, HostPort> stalledOn,
     Incarnation incarnation) {
-  /** Returns the report of an engine that does not tell when it started. */
+  /** Creates the report of an engine that does not report its start time. */
   public EngineReport(
       long ordersTaken,
       boolean orderInProgress,
       Optional<LayerRange> layers,
       double pace,
       ImmutableMap<String, HostPort> stalledOn) {
-    this(ordersTaken, orderInProgress, layers, pace, stalledOn, Incarnation.UNTOLD);
+    this(ordersTaken, orderInProgress, layers, pace, stalledOn, Incarnation.UNKNOWN);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Fleet.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Fleet.java
@@ -26,133 +26,142 @@
 /**
  * The table of all endpoints.
  *
- * <p>An endpoint that the list stops naming gets no new work at once. Only after an outage of the
- * store it is kept for a grace period: entries lapse while endpoints can't renew them, and come
- * back soon after it. A node can't see whether the store was away for all or for itself alone, but
- * the list shows it afterwards: an entry that outlived the silence proves that the store went on
- * without this node, so whatever is missing has left.
+ * <p>An endpoint that is no longer listed gets no new work immediately. The exception is an outage
+ * of the store: entries lapse while endpoints cannot renew them and reappear soon after the outage,
+ * so missing endpoints are retained for a grace period. During an outage a node cannot tell whether
+ * the store is down or only unreachable from this node. Afterwards the list shows it: an entry that
+ * survived the outage proves that the store kept running without this node, so every missing
+ * endpoint has left.
  *
- * <p>What is known of an endpoint is known of one run of its process, and is over as soon as a
- * later run shows under the same id. News of a former run that comes later changes nothing.
- * Confined to the node's event loop.
+ * <p>Everything known about an endpoint applies to one incarnation of its process, and is discarded
+ * when a later incarnation appears under the same ID. Information about a former incarnation that
+ * arrives later is ignored. Confined to the node's event loop.
  */
 public final class Fleet {
   /**
-   * An entry that only a copy of the store names goes within this time if its endpoint is gone:
-   * some missed check-ins, or the removal that is written again.
+   * An entry that exists only in a restored copy of the store disappears within this time if its
+   * endpoint has gone: after some missed renewals, or when its removal is written again.
    */
-  private static final Duration COPY_SETTLED = Duration.ofSeconds(10);
+  private static final Duration COPY_SETTLE_TIME = Duration.ofSeconds(10);
 
   private final Executor clock;
   private final Counters counters;
-  private final OutageGrace outage;
-  private final EndpointStatements statements;
-  private final FormerEndpoints former;
+  private final OutageGracePeriod outage;
+  private final EndpointSignals signals;
+  private final EndpointHistory history;
   private final Map<String, TrackedEndpoint> byId = new LinkedHashMap<>();
 
-  private final List<Runnable> choiceListeners = new ArrayList<>();
+  private final List<Runnable> selectionListeners = new ArrayList<>();
   private final List<Consumer<TrackedEndpoint>> suspicionListeners = new ArrayList<>();
   private final List<Consumer<TrackedEndpoint>> recoveryListeners = new ArrayList<>();
   private final List<Consumer<TrackedEndpoint>> removalListeners = new ArrayList<>();
   private final List<Consumer<TrackedEndpoint>> leavingListeners = new ArrayList<>();
-  private final List<Consumer<TrackedEndpoint>> endListeners = new ArrayList<>();
-  private final List<Consumer<TrackedEndpoint>> goneListeners = new ArrayList<>();
+  private final List<Consumer<TrackedEndpoint>> incarnationEndListeners = new ArrayList<>();
+  private final List<Consumer<TrackedEndpoint>> processDownListeners = new ArrayList<>();
 
   private long copySettledAt = Long.MAX_VALUE;
 
   private Fleet(Executor clock, Counters counters, Duration relistGrace) {
     this.clock = checkNotNull(clock);
     this.counters = checkNotNull(counters);
-    outage = new OutageGrace(clock, relistGrace);
-    statements = new EndpointStatements(clock, counters, this::sameRun, this::announcesItsEnd);
-    former = new FormerEndpoints(clock);
-    onRemoval(statements::forget);
+    outage = new OutageGracePeriod(clock, relistGrace);
+    signals = new EndpointSignals(clock, counters, this::sameIncarnation, this::markLeaving);
+    history = new EndpointHistory(clock);
+    onRemoval(signals::remove);
   }
 
   /**
-   * Returns an empty table.
+   * Creates an empty table.
    *
-   * @param relistGrace how long an endpoint whose entry may have lapsed in an outage is kept,
-   *     counted from the beginning of the last call to the store that failed
+   * @param relistGrace how long an endpoint whose entry may have lapsed in a store outage is
+   *     retained, counted from the start of the last failed call to the store
    */
   public static Fleet create(Executor clock, Counters counters, Duration relistGrace) {
     return new Fleet(clock, counters, relistGrace);
   }
 
   /**
-   * Calls back before endpoints are handed out to be chosen from, so that what is noted with them
-   * can be brought up to date.
+   * Registers a listener that is called before endpoints are returned for selection, so that it can
+   * update the state kept with them.
    */
-  public void onChoice(Runnable listener) {
-    choiceListeners.add(listener);
+  public void beforeSelection(Runnable listener) {
+    selectionListeners.add(listener);
   }
 
-  /** Calls back when an endpoint becomes suspected. */
+  /** Registers a listener that is called when an endpoint becomes suspected. */
   public void onSuspicion(Consumer<TrackedEndpoint> listener) {
     suspicionListeners.add(listener);
   }
 
-  /** Calls back when an endpoint that was suspected answers again. */
+  /** Registers a listener that is called when a suspected endpoint answers again. */
   public void onRecovery(Consumer<TrackedEndpoint> listener) {
     recoveryListeners.add(listener);
   }
 
-  /** Calls back when an endpoint announces that it will end. */
+  /** Registers a listener that is called when an endpoint announces its shutdown. */
   public void onLeaving(Consumer<TrackedEndpoint> listener) {
     leavingListeners.add(listener);
   }
 
-  /** Calls back when an endpoint's process is known to have ended; its removal follows. */
-  public void onEnd(Consumer<TrackedEndpoint> listener) {
-    endListeners.add(listener);
+  /**
+   * Registers a listener that is called when an incarnation of an endpoint is known to have ended.
+   * The removal listeners are called next.
+   */
+  public void onIncarnationEnd(Consumer<TrackedEndpoint> listener) {
+    incarnationEndListeners.add(listener);
   }
 
   /**
-   * Calls back when an endpoint's process is known not to be there: its box refused a connection,
-   * or it has ended.
+   * Registers a listener that is called when an endpoint's process is known to be down, because its
+   * box refused a connection or the incarnation has ended.
    */
-  public void onProcessGone(Consumer<TrackedEndpoint> listener) {
-    goneListeners.add(listener);
+  public void onProcessDown(Consumer<TrackedEndpoint> listener) {
+    processDownListeners.add(listener);
   }
 
-  /** Calls back when an endpoint leaves the table. */
+  /** Registers a listener that is called when an endpoint is removed from the table. */
   public void onRemoval(Consumer<TrackedEndpoint> listener) {
     removalListeners.add(listener);
   }
 
   /**
-   * Notes that a read of the list failed.
+   * Records that a read of the endpoint list failed.
    *
-   * @param callBegunAt when the call was begun, on the clock: the store came back later than that
-   * @param lastPosition up to which the list was known before; empty if it was not
+   * @param callBegunAt when the call started, in nanoseconds on the clock; the store was
+   *     unavailable until then
+   * @param lastPosition position up to which the list was known before the outage; empty if it was
+   *     not known
    */
-  public void noteStoreSilent(long callBegunAt, Optional<StorePosition> lastPosition) {
-    outage.noteSilent(callBegunAt);
-    if (with(Listing.KEPT).isEmpty()) {
-      outage.positionBefore(lastPosition);
+  public void recordStoreFailure(long callBegunAt, Optional<StorePosition> lastPosition) {
+    outage.recordFailure(callBegunAt);
+    if (withState(ListingState.RETAINED).isEmpty()) {
+      outage.setPositionBefore(lastPosition);
     }
   }
 
   /**
-   * Takes note that the store has come back from an older copy; a whole list of the copy follows.
+   * Records that the store was restored from an older copy; a complete list follows.
    *
-   * <p>Endpoints that it does not name may only not have written their entries again, and one that
-   * it names may have gone since, as this node saw.
+   * <p>Endpoints that the copy does not list may merely not have written their entries again.
+   * Endpoints that it lists may have been removed since, as this node observed.
    */
-  public void noteNewEra() {
-    outage.noteSilent(now());
-    outage.positionBefore(Optional.empty());
-    former.noteNewEra();
-    copySettledAt = now() + COPY_SETTLED.toNanos();
+  public void recordNewEra() {
+    outage.recordFailure(now());
+    outage.setPositionBefore(Optional.empty());
+    history.recordNewEra();
+    copySettledAt = now() + COPY_SETTLE_TIME.toNanos();
   }
 
-  /** Takes a whole list; {@link #judgeUnlisted} is to follow. */
+  /**
+   * Replaces all entries by a complete list. The caller must call {@link #resolveMissing}
+   * afterwards.
+   */
   public void replaceAll(Collection<FleetEndpoint> listed) {
     Set<String> ids = new HashSet<>();
     for (FleetEndpoint endpoint : listed) {
       ids.add(endpoint.id());
-      if (former.wentBeforeCopy(endpoint.id())) {
-        former.keep(endpoint);
+      if (history.wasRemovedBeforeRestore(endpoint.id())) {
+        history.retain(endpoint);
       } else {
         put(endpoint);
       }
@@ -164,46 +173,46 @@
     }
   }
 
-  /** Takes one new or changed entry. */
+  /** Processes one new or changed entry. */
   public void put(FleetEndpoint listed) {
-    former.noteListed(listed.id());
-    RunStatements said = statements.of(listed);
+    history.recordListed(listed.id());
+    IncarnationSignals signalsOfEntry = signals.of(listed);
     if (listed.leaving()) {
-      said.announceEnd();
+      signalsOfEntry.markLeaving();
     }
-    // An announced end holds for the run: the entry may be an older one, or not tell of it.
-    takeEntry(said.isLeaving() ? listed.thatLeaves() : listed);
+    // A shutdown announcement applies to the incarnation: the entry may be older, or lack it.
+    reconcileEntry(signalsOfEntry.isLeaving() ? listed.asLeaving() : listed);
   }
 
-  private void takeEntry(FleetEndpoint listed) {
+  private void reconcileEntry(FleetEndpoint listed) {
     String id = listed.id();
-    Incarnation newest = former.newestRun(id);
+    Incarnation newest = history.newestIncarnation(id);
     if (newest.isAfter(listed.incarnation())) {
       counters.count(Metric.ENDPOINT_ENTRIES, "former-run");
-    } else if (newest.isTold() && !listed.incarnation().isTold()) {
+    } else if (newest.isKnown() && !listed.incarnation().isKnown()) {
       counters.count(Metric.ENDPOINT_ENTRIES, "no-start");
-      withdraw(id, "its entry tells no start, and one before did");
+      withdraw(id, "entry has no start time, but an earlier one had");
     } else {
-      former.noteRun(id, listed.incarnation());
-      take(listed);
+      history.recordIncarnation(id, listed.incarnation());
+      apply(listed);
     }
   }
 
-  private void take(FleetEndpoint listed) {
+  private void apply(FleetEndpoint listed) {
     TrackedEndpoint known = byId.get(listed.id());
     if (known == null) {
-      find(listed);
+      addNew(listed);
     } else if (!listed.incarnation().equals(known.endpoint().incarnation())) {
-      startAgain(known, listed);
-    } else if (listed.canBeSameRun(known.endpoint())) {
+      restart(known, listed);
+    } else if (listed.mayBeSameIncarnation(known.endpoint())) {
       update(known, listed);
     } else {
       counters.count(Metric.ENDPOINT_ENTRIES, "other-endpoint");
-      withdraw(listed.id(), "its entry is not that of the run that is known");
+      withdraw(listed.id(), "entry does not match the known incarnation");
     }
   }
 
-  private void find(FleetEndpoint listed) {
+  private void addNew(FleetEndpoint listed) {
     track(listed);
     EventLog.info(
         Event.ENDPOINT_FOUND,
@@ -214,27 +223,28 @@
         "serves",
         listed.service(),
         "layers",
-        text(listed));
+        layersText(listed));
   }
 
   private void track(FleetEndpoint listed) {
-    TrackedEndpoint endpoint = new TrackedEndpoint(listed, statements.of(listed));
+    TrackedEndpoint endpoint = new TrackedEndpoint(listed, signals.of(listed));
     byId.put(listed.id(), endpoint);
-    statements.found(endpoint);
+    signals.add(endpoint);
   }
 
-  private void startAgain(TrackedEndpoint former, FleetEndpoint next) {
+  private void restart(TrackedEndpoint former, FleetEndpoint next) {
     track(next);
-    end(former, "it started again");
+    endIncarnation(former, "endpoint restarted");
   }
 
   /**
-   * Ends a run that is no longer in the table.
+   * Ends an incarnation that has been replaced in the table.
    *
-   * <p>Requests that it held are told first: by then a later run is known, and can be chosen.
+   * <p>Its requests are notified only after the next incarnation is in the table, so that they can
+   * choose it.
    */
-  private void end(TrackedEndpoint endpoint, String cause) {
-    endpoint.end();
+  private void endIncarnation(TrackedEndpoint endpoint, String cause) {
+    endpoint.markEnded();
     EventLog.warn(
         Event.ENDPOINT_RUN_ENDED,
         "endpoint",
@@ -243,59 +253,59 @@
         endpoint.address(),
         "cause",
         cause);
-    goneListeners.forEach(listener -> listener.accept(endpoint));
-    endListeners.forEach(listener -> listener.accept(endpoint));
+    processDownListeners.forEach(listener -> listener.accept(endpoint));
+    incarnationEndListeners.forEach(listener -> listener.accept(endpoint));
     removalListeners.forEach(listener -> listener.accept(endpoint));
   }
 
   /**
-   * Takes which run of an endpoint told something of itself.
+   * Processes the incarnation that an endpoint reported. A later incarnation replaces the known
+   * one.
    *
-   * @return whether it is the run that is known; if not, what it told is of no use: a later run
-   *     takes the place of the known one, and a former one is over
+   * @return whether the report is from the known incarnation; otherwise its content must be ignored
    */
-  public boolean isSameRun(TrackedEndpoint endpoint, Incarnation told) {
+  public boolean reconcileIncarnation(TrackedEndpoint endpoint, Incarnation reported) {
     if (endpoint.hasEnded()) {
       return false;
     }
     Incarnation known = endpoint.endpoint().incarnation();
-    if (told.isAfter(known) && !endpoint.delisted()) {
-      former.noteRun(endpoint.endpoint().id(), told);
-      startAgain(endpoint, endpoint.endpoint().startedAgain(told));
+    if (reported.isAfter(known) && !endpoint.delisted()) {
+      history.recordIncarnation(endpoint.endpoint().id(), reported);
+      restart(endpoint, endpoint.endpoint().withIncarnation(reported));
       return false;
     }
-    return !known.isAfter(told);
+    return !known.isAfter(reported);
   }
 
   private void update(TrackedEndpoint known, FleetEndpoint listed) {
-    FleetEndpoint before = known.endpoint();
+    FleetEndpoint previous = known.endpoint();
     known.update(listed);
-    if (listed.leaving() && !before.leaving()) {
-      tellLeaving(known, "entry");
-    } else if (!listed.layers().equals(before.layers())) {
-      EventLog.info(Event.ENDPOINT_LAYERS, "endpoint", listed.id(), "layers", text(listed));
+    if (listed.leaving() && !previous.leaving()) {
+      notifyLeaving(known, "entry");
+    } else if (!listed.layers().equals(previous.layers())) {
+      EventLog.info(Event.ENDPOINT_LAYERS, "endpoint", listed.id(), "layers", layersText(listed));
     }
   }
 
-  private Optional<TrackedEndpoint> sameRun(FleetEndpoint endpoint) {
+  private Optional<TrackedEndpoint> sameIncarnation(FleetEndpoint endpoint) {
     return Optional.ofNullable(byId.get(endpoint.id()))
         .filter(known -> known.endpoint().incarnation().equals(endpoint.incarnation()));
   }
 
-  private void announcesItsEnd(TrackedEndpoint endpoint) {
-    endpoint.announcesItsEnd();
-    tellLeaving(endpoint, "answer");
+  private void markLeaving(TrackedEndpoint endpoint) {
+    endpoint.markLeaving();
+    notifyLeaving(endpoint, "answer");
   }
 
-  private void tellLeaving(TrackedEndpoint endpoint, String toldBy) {
+  private void notifyLeaving(TrackedEndpoint endpoint, String source) {
     String id = endpoint.endpoint().id();
-    EventLog.info(Event.ENDPOINT_LEAVING, "endpoint", id, "toldBy", toldBy);
+    EventLog.info(Event.ENDPOINT_LEAVING, "endpoint", id, "toldBy", source);
     leavingListeners.forEach(listener -> listener.accept(endpoint));
   }
 
   /**
-   * Takes an entry that names no endpoint to use: the one that it named before gets no new work,
-   * also while the store is silent, until it lists itself again.
+   * Removes an endpoint whose entry is no longer usable, even during a store outage. It gets no new
+   * work until it lists itself again.
    */
   public void withdraw(String id, String cause) {
     TrackedEndpoint known = byId.get(id);
@@ -304,114 +314,115 @@
     }
   }
 
-  private static String text(FleetEndpoint endpoint) {
+  private static String layersText(FleetEndpoint endpoint) {
     return endpoint.layers().map(Object::toString).orElse("none");
   }
 
-  /** Takes the removal of an entry; {@link #judgeUnlisted} is to follow. */
+  /** Processes the removal of an entry. The caller must call {@link #resolveMissing} afterwards. */
   public void remove(String id) {
-    former.noteUnlisted(id);
+    history.recordUnlisted(id);
     TrackedEndpoint known = byId.get(id);
-    if (known == null || known.listing() != Listing.LISTED) {
+    if (known == null || known.listing() != ListingState.LISTED) {
       return;
     }
-    if (outage.left() > 0) {
-      known.listing(Listing.MISSING);
+    if (outage.remainingNanos() > 0) {
+      known.setListing(ListingState.MISSING);
     } else {
       drop(known, "unlisted");
     }
   }
 
   /**
-   * Decides on endpoints that went missing after the store was silent, and on those that only a
-   * copy of it names, once all changes up to now are taken.
+   * Retains or drops the endpoints that went missing after a store outage, and adds those that only
+   * a restored copy lists once they may be used. Called after all changes up to now have been
+   * processed.
    */
-  public void judgeUnlisted() {
+  public void resolveMissing() {
     if (now() >= copySettledAt) {
-      // They had gone, by this node's view, but nobody has unlisted them since.
-      former.stillNamed().forEach(this::put);
+      // This node saw them being removed, but their entries have not been removed again since.
+      history.entriesInCopyOnly().forEach(this::put);
     }
-    ImmutableList<TrackedEndpoint> missing = with(Listing.MISSING);
+    ImmutableList<TrackedEndpoint> missing = withState(ListingState.MISSING);
     if (missing.isEmpty()) {
       return;
     }
-    if (anyOutlivedTheSilence()) {
-      String cause = "unlisted while only this node had lost the store";
-      with(Listing.KEPT).forEach(endpoint -> drop(endpoint, cause));
+    if (anySurvivedOutage()) {
+      String cause = "unlisted while only this node was disconnected from the store";
+      withState(ListingState.RETAINED).forEach(endpoint -> drop(endpoint, cause));
       missing.forEach(endpoint -> drop(endpoint, cause));
     } else {
-      missing.forEach(this::keep);
+      missing.forEach(this::retain);
     }
   }
 
-  private boolean anyOutlivedTheSilence() {
-    return with(Listing.LISTED).stream()
+  private boolean anySurvivedOutage() {
+    return withState(ListingState.LISTED).stream()
         .map(TrackedEndpoint::endpoint)
-        .anyMatch(outage::outlivedBy);
+        .anyMatch(outage::survivedBy);
   }
 
-  private void keep(TrackedEndpoint endpoint) {
-    long wait = outage.left();
-    endpoint.listing(Listing.KEPT);
+  private void retain(TrackedEndpoint endpoint) {
+    long remaining = outage.remainingNanos();
+    endpoint.setListing(ListingState.RETAINED);
     EventLog.info(
         Event.ENDPOINT_KEPT,
         "endpoint",
         endpoint.endpoint().id(),
         "forMs",
-        NANOSECONDS.toMillis(wait));
-    dropUnlessListed(endpoint, wait);
+        NANOSECONDS.toMillis(remaining));
+    dropUnlessRelisted(endpoint, remaining);
   }
 
-  private void dropUnlessListed(TrackedEndpoint endpoint, long afterNanos) {
+  private void dropUnlessRelisted(TrackedEndpoint endpoint, long afterNanos) {
     clock.schedule(
         () -> {
-          if (endpoint.listing() != Listing.KEPT) {
+          if (endpoint.listing() != ListingState.RETAINED) {
             return;
           }
-          long left = outage.left();
-          if (left > 0) {
-            dropUnlessListed(endpoint, left);
+          long remaining = outage.remainingNanos();
+          if (remaining > 0) {
+            dropUnlessRelisted(endpoint, remaining);
           } else {
-            drop(endpoint, "unlisted after an outage of the store");
+            drop(endpoint, "not listed again after a store outage");
           }
         },
         afterNanos,
         NANOSECONDS);
   }
 
-  private ImmutableList<TrackedEndpoint> with(Listing listing) {
+  private ImmutableList<TrackedEndpoint> withState(ListingState state) {
     return byId.values().stream()
-        .filter(endpoint -> endpoint.listing() == listing)
+        .filter(endpoint -> endpoint.listing() == state)
         .collect(ImmutableList.toImmutableList());
   }
 
   private void drop(TrackedEndpoint endpoint, String cause) {
-    endpoint.listing(Listing.GONE);
+    endpoint.setListing(ListingState.REMOVED);
     byId.remove(endpoint.endpoint().id());
-    former.noteGone(endpoint.endpoint().id());
+    history.recordRemoval(endpoint.endpoint().id());
     EventLog.info(Event.ENDPOINT_GONE, "endpoint", endpoint.endpoint().id(), "cause", cause);
     removalListeners.forEach(listener -> listener.accept(endpoint));
   }
 
-  /** Notes that an endpoint's box refused a connection to it. */
-  public void noteNobodyListens(TrackedEndpoint endpoint) {
-    if (!endpoint.processGone()) {
-      endpoint.refusesConnections(true);
-      goneListeners.forEach(listener -> listener.accept(endpoint));
+  /** Records that an endpoint's box refused a connection to the endpoint's address. */
+  public void recordConnectionRefused(TrackedEndpoint endpoint) {
+    if (!endpoint.processDown()) {
+      endpoint.setRefusesConnections(true);
+      processDownListeners.forEach(listener -> listener.accept(endpoint));
     }
   }
 
-  /** Returns what endpoints say of themselves. */
-  public EndpointStatements statements() {
-    return statements;
+  /** Returns the signals that endpoints send with their answers. */
+  public EndpointSignals signals() {
+    return signals;
   }
 
-  /** Believes an endpoint dead or unreachable until {@link #clear}. */
+  /** Marks an endpoint as suspected, that is down or unreachable, until {@link #clearSuspicion}. */
   public void suspect(TrackedEndpoint endpoint, String cause) {
     if (endpoint.suspected()) {
       return;
     }
-    endpoint.suspected(true);
+    endpoint.setSuspected(true);
     counters.count(Metric.EJECTIONS, "suspected");
     EventLog.warn(
         Event.ENDPOINT_EJECTED,
@@ -424,24 +435,24 @@
     ImmutableList.copyOf(suspicionListeners).forEach(listener -> listener.accept(endpoint));
   }
 
-  /** Takes a suspicion back: the endpoint answered. */
-  public void clear(TrackedEndpoint endpoint) {
-    endpoint.refusesConnections(false);
+  /** Clears the suspicion of an endpoint that answered. */
+  public void clearSuspicion(TrackedEndpoint endpoint) {
+    endpoint.setRefusesConnections(false);
     if (endpoint.suspected()) {
-      endpoint.suspected(false);
+      endpoint.setSuspected(false);
       EventLog.info(Event.ENDPOINT_PROBED, "endpoint", endpoint.endpoint().id());
       recoveryListeners.forEach(listener -> listener.accept(endpoint));
     }
   }
 
-  /** Returns all endpoints that are listed. */
+  /** Returns all endpoints of the table. */
   public ImmutableList<TrackedEndpoint> all() {
     return ImmutableList.copyOf(byId.values());
   }
 
-  /** Returns the endpoints of a service that are listed. */
-  public ImmutableList<TrackedEndpoint> of(String service) {
-    choiceListeners.forEach(Runnable::run);
+  /** Returns all endpoints of a service. */
+  public ImmutableList<TrackedEndpoint> listed(String service) {
+    selectionListeners.forEach(Runnable::run);
     ImmutableList.Builder<TrackedEndpoint> found = ImmutableList.builder();
     for (TrackedEndpoint endpoint : byId.values()) {
       if (endpoint.endpoint().service().equals(service)) {
@@ -453,7 +464,7 @@
 
   /** Returns the endpoints of a service that may get new work now. */
   public ImmutableList<TrackedEndpoint> usable(String service) {
-    choiceListeners.forEach(Runnable::run);
+    selectionListeners.forEach(Runnable::run);
     long now = now();
     ImmutableList.Builder<TrackedEndpoint> found = ImmutableList.builder();
     for (TrackedEndpoint endpoint : byId.values()) {
@@ -464,49 +475,51 @@
     return found.build();
   }
 
-  /** Returns the listed endpoint of a service at an address. */
-  public Optional<TrackedEndpoint> at(String service, HostPort address) {
+  /** Returns the endpoint of a service at an address. */
+  public Optional<TrackedEndpoint> find(String service, HostPort address) {
     return byId.values().stream()
         .filter(endpoint -> endpoint.address().equals(address))
         .filter(endpoint -> endpoint.endpoint().service().equals(service))
         .findFirst();
   }
 
-  /** Returns when requests may begin at a plain service. */
-  public Openings openings(String service) {
-    return Openings.ofPlain(serving(service));
+  /** Returns when requests may be sent to a plain service. */
+  public RequestSchedule requestSchedule(String service) {
+    return RequestSchedule.ofPlain(serving(service));
   }
 
-  /** Returns when requests may begin at engines that hold every layer between them. */
-  public Openings openings(String service, int layers) {
-    if (!statements.anyBinds()) {
-      // Asked for each request that waits, many times a second.
-      return holdsAll(service, layers) ? Openings.ALWAYS : Openings.NEVER;
+  /** Returns when requests may be sent to engines that together hold every layer. */
+  public RequestSchedule requestSchedule(String service, int layers) {
+    if (!signals.anyInForce()) {
+      // Called for each queued request, many times a second.
+      return coversAllLayers(service, layers) ? RequestSchedule.ALWAYS : RequestSchedule.NEVER;
     }
-    return Openings.ofEngines(serving(service), layers);
+    return RequestSchedule.ofEngines(serving(service), layers);
   }
 
   private ImmutableList<TrackedEndpoint> serving(String service) {
-    return of(service).stream()
+    return listed(service).stream()
         .filter(TrackedEndpoint::serving)
         .collect(ImmutableList.toImmutableList());
   }
 
   /**
-   * Returns whether the endpoints of a service hold every layer between them, full ones included.
+   * Returns whether the endpoints of a service together hold every layer, including endpoints
+   * without free capacity.
    */
-  public boolean holdsAll(String service, int layers) {
-    boolean[] held = new boolean[layers];
-    for (TrackedEndpoint endpoint : of(service)) {
+  public boolean coversAllLayers(String service, int layers) {
+    boolean[] covered = new boolean[layers];
+    for (TrackedEndpoint endpoint : listed(service)) {
       if (!endpoint.serving()) {
         continue;
       }
       endpoint
           .endpoint()
           .layers()
-          .ifPresent(range -> Arrays.fill(held, range.from(), Math.min(range.to(), layers), true));
+          .ifPresent(
+              range -> Arrays.fill(covered, range.from(), Math.min(range.to(), layers), true));
     }
-    for (boolean layer : held) {
+    for (boolean layer : covered) {
       if (!layer) {
         return false;
       }
@@ -514,7 +527,7 @@
     return true;
   }
 
-  /** Returns how many endpoints are listed. */
+  /** Returns the number of endpoints in the table. */
   public int size() {
     return byId.size();
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/FleetEndpoint.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/FleetEndpoint.java
@@ -8,19 +8,20 @@
 import org.vaneworks.state.StorePosition;
 
 /**
- * One run of an endpoint's process, as it lists itself.
+ * One incarnation of an endpoint, as described by its entry in the endpoint list.
  *
- * @param id its name in the list; another one at each start, or the same with another incarnation
- * @param service the service that it belongs to
- * @param address where it listens
- * @param dataCentre where its box stands
- * @param slots requests that it works on at a time
- * @param leaving whether it announced that it will end
- * @param layers the layers that it holds, if any
- * @param accelerator its kind of accelerator; empty for a plain service
- * @param listedAt when it was listed, by the store; a higher one later means that the entry lapsed
- *     in between
- * @param incarnation which run of the process it is
+ * @param id name in the list; a restarted endpoint has a new ID, or the same ID with another
+ *     incarnation
+ * @param service the service that the endpoint belongs to
+ * @param address where the endpoint listens
+ * @param dataCentre the data centre of the endpoint's box
+ * @param slots number of requests that the endpoint processes concurrently
+ * @param leaving whether the endpoint announced its shutdown
+ * @param layers the layers that the endpoint holds, if any
+ * @param accelerator the kind of accelerator; empty for a plain service
+ * @param listedAt store position at which the entry was created; a higher position for the same
+ *     endpoint means that the entry lapsed in between
+ * @param incarnation the incarnation of the endpoint's process
  */
 public record FleetEndpoint(
     String id,
@@ -33,7 +34,7 @@
     String accelerator,
     StorePosition listedAt,
     Incarnation incarnation) {
-  /** Checks that every part is given. */
+  /** Checks that the components are not null. */
   public FleetEndpoint {
     checkNotNull(id);
     checkNotNull(address);
@@ -43,16 +44,16 @@
   }
 
   /**
-   * Returns a name of this run of the process, the same at all nodes. An endpoint that does not
-   * tell its start lists itself anew after one.
+   * Returns an ID of this incarnation that is the same on all nodes. An endpoint that does not
+   * report its start time creates a new entry after a restart, so the entry's position is used.
    */
-  public String run() {
-    return incarnation.isTold()
+  public String incarnationId() {
+    return incarnation.isKnown()
         ? id + "@" + incarnation.startedAt().getAsLong()
         : id + "#" + listedAt.number();
   }
 
-  /** Returns an endpoint that does not tell when it started. */
+  /** Creates an endpoint that does not report its start time. */
   public FleetEndpoint(
       String id,
       String service,
@@ -73,11 +74,14 @@
         layers,
         accelerator,
         listedAt,
-        Incarnation.UNTOLD);
+        Incarnation.UNKNOWN);
   }
 
-  /** Returns what is known of a later run before it has listed itself: it holds no layers. */
-  FleetEndpoint startedAgain(Incarnation later) {
+  /**
+   * Returns a description of a later incarnation that has not listed itself yet. It holds no
+   * layers.
+   */
+  FleetEndpoint withIncarnation(Incarnation later) {
     return new FleetEndpoint(
         id,
         service,
@@ -91,17 +95,17 @@
         later);
   }
 
-  /** Returns this entry as one of a run that has announced its end. */
-  FleetEndpoint thatLeaves() {
+  /** Returns a copy that announces the endpoint's shutdown. */
+  FleetEndpoint asLeaving() {
     return new FleetEndpoint(
         id, service, address, dataCentre, slots, true, layers, accelerator, listedAt, incarnation);
   }
 
   /**
-   * Returns whether both entries can be those of one run. Its accelerator is left out: some engines
-   * name it with their model only.
+   * Returns whether both entries can describe the same incarnation. The accelerator is ignored
+   * because some engines report it only after their model is loaded.
    */
-  boolean canBeSameRun(FleetEndpoint other) {
+  boolean mayBeSameIncarnation(FleetEndpoint other) {
     return incarnation.equals(other.incarnation)
         && service.equals(other.service)
         && address.equals(other.address)
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Incarnation.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Incarnation.java
@@ -5,26 +5,28 @@
 import java.util.OptionalLong;
 
 /**
- * One run of an endpoint's process, told apart by when it started.
+ * One incarnation of an endpoint, that is one run of its process, identified by its start time.
  *
- * <p>An endpoint may start again under the id that it had. It then holds nothing of before, so what
- * was known of the former run says nothing of the next. Endpoints that take a new id at each start
- * need not tell; of two runs of which one is not told, neither is before the other.
+ * <p>An endpoint may restart under the same ID. It then holds none of its former state, so nothing
+ * known about the former incarnation applies to the next. Endpoints that use a new ID at each start
+ * need not report a start time. If the start time of either of two incarnations is unknown, they
+ * are unordered.
  *
  * @param startedAt wall-clock time of the start on the endpoint's box, in Unix milliseconds; empty
- *     if the endpoint does not tell
+ *     if the endpoint does not report it
  */
 public record Incarnation(OptionalLong startedAt) {
-  /** An endpoint that does not tell when it started. */
-  public static final Incarnation UNTOLD = new Incarnation(OptionalLong.empty());
+  /** The incarnation of an endpoint that does not report its start time. */
+  public static final Incarnation UNKNOWN = new Incarnation(OptionalLong.empty());
 
-  /** Returns the run that started at a time, in Unix milliseconds. */
+  /** Returns the incarnation that started at the given time, in Unix milliseconds. */
   public static Incarnation startedAt(long unixMillis) {
-    checkArgument(unixMillis >= 0, "a start must not be negative: %s", unixMillis);
+    checkArgument(unixMillis >= 0, "start time must not be negative: %s", unixMillis);
     return new Incarnation(OptionalLong.of(unixMillis));
   }
 
-  // Written out: generated ones are linked by method handles, whose classes each start makes anew.
+  // Implemented explicitly: the generated methods are linked through method handles, whose classes
+  // would be spun again at each start of the node.
 
   @Override
   public boolean equals(Object other) {
@@ -36,13 +38,16 @@
     return startedAt.hashCode();
   }
 
-  /** Returns whether the endpoint tells when it started. */
-  public boolean isTold() {
+  /** Returns whether the start time is known. */
+  public boolean isKnown() {
     return startedAt.isPresent();
   }
 
-  /** Returns whether this run began after the other one. */
+  /**
+   * Returns whether this incarnation started after the other one; false if either start time is
+   * unknown.
+   */
   public boolean isAfter(Incarnation other) {
-    return isTold() && other.isTold() && startedAt.getAsLong() > other.startedAt.getAsLong();
+    return isKnown() && other.isKnown() && startedAt.getAsLong() > other.startedAt.getAsLong();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/RepathOutcome.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/RepathOutcome.java
@@ -4,13 +4,13 @@
 import org.vaneworks.state.HostPort;
 
 /**
- * How an engine answered an order to change a request's path.
+ * The answer of an engine to an order to change a request's path.
  *
- * @param kind what it said
- * @param obstacle the engine that is missing or lacks room, where it was named
+ * @param kind the kind of answer
+ * @param obstacle the engine that is missing or lacks capacity, if the answer named one
  */
 public record RepathOutcome(Kind kind, Optional<HostPort> obstacle) {
-  /** What the engine said. */
+  /** The kind of answer. */
   public enum Kind {
     ACCEPTED,
     UNKNOWN_REQUEST,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/TrackedEndpoint.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/TrackedEndpoint.java
@@ -6,271 +6,306 @@
 import org.vaneworks.state.LayerRange;
 
 /**
- * An endpoint with what this node knows of it beyond the list: own work in flight, suspicion.
+ * An endpoint with the state that this node keeps about it: requests in flight, load reported by
+ * peers, health and rate limits.
  *
  * <p>Confined to the node's event loop.
  */
 public final class TrackedEndpoint {
   /**
-   * A pace, in multiples of its kind's time, from which an engine counts as slow: it is asked again
-   * until that is over, and peers are told.
+   * The pace, as a multiple of the step time of the engine's kind, from which an engine counts as
+   * slow: it is probed until it recovers, and reported to peers.
    */
   static final double SLOW_PACE = 1.3;
 
-  /** Each refusal raises the estimate of an engine's use by this factor. */
+  /** Factor by which each refusal raises the estimated use of an engine. */
   private static final double SHORTAGE_STEP = 1.3;
 
   private static final double MAX_SHORTAGE = 3;
 
-  /** Requests last a few seconds, so a shortage is mostly over after two of these. */
+  /** Requests last a few seconds, so a shortage has mostly passed after two half-lives. */
   private static final double SHORTAGE_HALF_LIFE_NANOS = 1e9;
 
   private FleetEndpoint endpoint;
   private int inFlight;
   private double reservedTokenLayers;
-  private int peersRequests;
-  private double peersTokenLayers;
-  private double unheardFactor = 1;
+  private int peerRequests;
+  private double peerTokenLayers;
+  private double extrapolationFactor = 1;
   private double recentRequests;
   private double recentTokenLayers;
-  private double peersAlike;
+  private double similarPeers;
   private long avoidedUntil = Long.MIN_VALUE;
   private boolean suspected;
   private boolean ended;
   private boolean refusesConnections;
-  private Listing listing = Listing.LISTED;
-  private int failuresInARow;
+  private ListingState listing = ListingState.LISTED;
+  private int consecutiveFailures;
   private long lastProgress = Long.MIN_VALUE / 2;
   private long lastFastProgress = Long.MIN_VALUE / 2;
   private double pace = 1;
-  private double peersPace = 1;
+  private double paceReportedByPeers = 1;
   private double shortage = 1;
   private long shortageAt;
-  private final RunStatements said;
+  private final IncarnationSignals signals;
 
-  TrackedEndpoint(FleetEndpoint endpoint, RunStatements said) {
+  TrackedEndpoint(FleetEndpoint endpoint, IncarnationSignals signals) {
     this.endpoint = checkNotNull(endpoint);
-    this.said = checkNotNull(said);
+    this.signals = checkNotNull(signals);
   }
 
-  /** Returns the endpoint as it was last listed. */
+  /** Returns the endpoint's latest description. */
   public FleetEndpoint endpoint() {
     return endpoint;
   }
 
-  /** Returns where it listens. */
+  /** Returns the address that the endpoint listens on. */
   public HostPort address() {
     return endpoint.address();
   }
 
   void update(FleetEndpoint listed) {
     endpoint = listed;
-    listing = Listing.LISTED;
+    listing = ListingState.LISTED;
   }
 
-  void announcesItsEnd() {
-    endpoint = endpoint.thatLeaves();
+  void markLeaving() {
+    endpoint = endpoint.asLeaving();
   }
 
-  Listing listing() {
+  ListingState listing() {
     return listing;
   }
 
-  void listing(Listing value) {
+  void setListing(ListingState value) {
     listing = value;
   }
 
-  /** Returns whether it has left the list. */
+  /** Returns whether the endpoint was removed from the table. */
   public boolean delisted() {
-    return listing == Listing.GONE;
+    return listing == ListingState.REMOVED;
   }
 
-  /** Returns whether its process is known to have ended: nothing comes from it any more. */
+  /**
+   * Returns whether this incarnation is known to have ended, so that nothing more can arrive from
+   * it.
+   */
   public boolean hasEnded() {
     return ended;
   }
 
-  /** Returns whether no process of it is there: its box refuses connections, or it has ended. */
-  public boolean processGone() {
+  /**
+   * Returns whether the endpoint's process is known to be down: its box refuses connections, or the
+   * incarnation has ended.
+   */
+  public boolean processDown() {
     return ended || refusesConnections;
   }
 
-  void refusesConnections(boolean value) {
+  void setRefusesConnections(boolean value) {
     refusesConnections = value;
   }
 
-  void end() {
+  void markEnded() {
     ended = true;
-    listing = Listing.GONE;
+    listing = ListingState.REMOVED;
   }
 
-  /** Returns whether it may get new work at that time. */
+  /** Returns whether the endpoint may get new work at the given time. */
   public boolean usable(long nowNanos) {
-    return serving() && nowNanos >= avoidedUntil && nowNanos >= opensAt();
+    return serving() && nowNanos >= avoidedUntil && nowNanos >= nextRequestAt();
   }
 
   /**
-   * Returns when it takes the next request of this node by what it said of itself, on the node's
-   * clock in nanoseconds; the largest value is never.
+   * Returns when the endpoint's rate limit and backoff permit the next request of this node, in
+   * nanoseconds on the node's clock; {@link Long#MAX_VALUE} for never.
    */
-  long opensAt() {
-    return Math.max(startLimit().opensAt(), backoff().endsAt());
+  long nextRequestAt() {
+    return Math.max(rateLimit().nextRequestAt(), backoff().endsAt());
   }
 
-  /** Returns whether it gets new work, now or once it has room again. */
+  /** Returns whether the endpoint gets new work, now or as soon as it has capacity. */
   public boolean serving() {
     return !suspected && !delisted() && !endpoint.leaving();
   }
 
-  /** Returns whether it is believed dead or unreachable. */
+  /** Returns whether the endpoint is suspected, that is considered down or unreachable. */
   public boolean suspected() {
     return suspected;
   }
 
-  void suspected(boolean value) {
+  void setSuspected(boolean value) {
     suspected = value;
   }
 
-  /** Gives it no new work until then, for example because it said that it is full. */
+  /**
+   * Gives the endpoint no new work until the given time, for example because it reported that it is
+   * full.
+   */
   public void avoidUntil(long nanos) {
     avoidedUntil = Math.max(avoidedUntil, nanos);
   }
 
   /**
-   * Notes that a request through it made progress.
+   * Records that a request through the endpoint made progress.
    *
-   * @param fast whether it did so without a long pause before
+   * @param fast whether there was no long pause before the progress
    */
-  public void noteProgress(long nowNanos, boolean fast) {
+  public void recordProgress(long nowNanos, boolean fast) {
     lastProgress = nowNanos;
     if (fast) {
       lastFastProgress = nowNanos;
     }
   }
 
-  /** Returns when a request through it last made progress. */
+  /**
+   * Returns when a request through the endpoint last made progress, in nanoseconds on the node's
+   * clock.
+   */
   public long lastProgress() {
     return lastProgress;
   }
 
-  /** Returns when a request through it last made progress without a long pause. */
+  /**
+   * Returns when a request through the endpoint last made progress without a long pause, in
+   * nanoseconds on the node's clock.
+   */
   public long lastFastProgress() {
     return lastFastProgress;
   }
 
-  /** Returns how many times slower than its kind it says that it is, to this node or to peers. */
+  /**
+   * Returns the engine's pace: its step time as a multiple of that of its kind, as reported to this
+   * node or to peers, whichever is higher.
+   */
   public double pace() {
-    return Math.max(pace, peersPace);
+    return Math.max(pace, paceReportedByPeers);
   }
 
-  /** Returns whether it told this node itself that it is slow. */
-  public boolean slowAtFirstHand() {
+  /** Returns whether the engine reported to this node that it is slow. */
+  public boolean reportsSlow() {
     return pace >= SLOW_PACE;
   }
 
-  /** Returns the pace that it told this node itself. */
-  public double firstHandPace() {
+  /** Returns the pace that the engine reported to this node. */
+  public double reportedPace() {
     return pace;
   }
 
-  /** Takes the pace that peers know at first hand; 1 if none knows it to be slow. */
-  public void peersPace(double value) {
-    peersPace = value;
+  /**
+   * Sets the pace that the engine reported to peers; 1 if it reported to no peer that it is slow.
+   */
+  public void setPaceReportedByPeers(double value) {
+    paceReportedByPeers = value;
   }
 
-  void pace(double value) {
+  void setPace(double value) {
     pace = Math.max(1, value);
   }
 
-  /** Notes that it refused work for want of memory or places: others use it more than this node. */
-  public void noteShortage(long nowNanos) {
+  /**
+   * Records that the endpoint refused work for lack of memory or slots, so other nodes use it more
+   * than this node knew.
+   */
+  public void recordShortage(long nowNanos) {
     shortage = Math.min(MAX_SHORTAGE, shortage(nowNanos) * SHORTAGE_STEP);
     shortageAt = nowNanos;
   }
 
-  /** Returns by how much its use is higher than this node's own requests suggest; at least 1. */
+  /**
+   * Returns the factor, at least 1, by which the endpoint's use exceeds the use that this node's
+   * requests suggest.
+   */
   public double shortage(long nowNanos) {
     double age = (nowNanos - shortageAt) / SHORTAGE_HALF_LIFE_NANOS;
     return 1 + (shortage - 1) * Math.pow(0.5, age);
   }
 
-  /** Notes a failed request; returns how many failed in a row. */
-  public int noteFailure() {
-    return ++failuresInARow;
+  /** Records a failed request and returns the number of consecutive failures. */
+  public int recordFailure() {
+    return ++consecutiveFailures;
   }
 
-  /** Notes a request that was answered. */
-  public void noteSuccess() {
-    failuresInARow = 0;
+  /** Records a request that was answered. */
+  public void recordSuccess() {
+    consecutiveFailures = 0;
   }
 
-  /** Returns how many requests a second it takes, and this node's share of them. */
-  public StartLimit startLimit() {
-    return said.startLimit();
+  /** Returns the endpoint's rate limit and this node's share of it. */
+  public EndpointRateLimit rateLimit() {
+    return signals.rateLimit();
   }
 
-  /** Returns what it said of itself. */
-  RunStatements statements() {
-    return said;
+  /** Returns the signals that the endpoint sent. */
+  IncarnationSignals signals() {
+    return signals;
   }
 
-  /** Returns for how long it wants no calls from this node. */
+  /** Returns the backoff that the endpoint asked this node for. */
   Backoff backoff() {
-    return said.backoff();
+    return signals.backoff();
   }
 
-  /** Returns this node's requests in flight there. */
+  /** Returns the number of this node's requests in flight at the endpoint. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** Returns the tokens times layers that this node's requests need there. */
+  /** Returns the memory that this node's requests need at the endpoint, in tokens times layers. */
   public double reservedTokenLayers() {
     return reservedTokenLayers;
   }
 
   /**
-   * Notes what the requests of other nodes take.
+   * Sets the load of other nodes.
    *
-   * @param requests of the nodes that told of theirs
+   * @param requests number of requests of the nodes that reported their load
    * @param tokenLayers memory that those requests need, in tokens times layers
-   * @param factor live nodes by nodes whose load is known, this one included; at least 1
+   * @param factor number of live nodes divided by the number of nodes whose load is known,
+   *     including this node; at least 1
    */
-  public void peersLoad(int requests, double tokenLayers, double factor) {
-    peersRequests = requests;
-    peersTokenLayers = tokenLayers;
-    unheardFactor = factor;
+  public void setPeerLoad(int requests, double tokenLayers, double factor) {
+    peerRequests = requests;
+    peerTokenLayers = tokenLayers;
+    extrapolationFactor = factor;
   }
 
   /**
-   * Notes how many peers choose by the same view as this node: each is taken to have begun as much
-   * here as this node since its last report.
+   * Sets how many peers select engines from the same view as this node. Each is assumed to have
+   * started as many requests here as this node since its last report.
    *
-   * <p>Without this, nodes that hear that an engine has room fill it together before they hear of
-   * each other. The fewer streams a node has, the less its own tell of its peers'.
+   * <p>Without this assumption, nodes that learn that an engine has capacity fill it together
+   * before they learn of each other's requests. The fewer streams a node has, the less they
+   * indicate about its peers' streams.
    *
-   * @param peers nodes that prefer the same engines and are heard
-   * @param kept part of what this node began before that peers have still not told of their like; 0
-   *     to 1
+   * @param peers number of nodes that prefer the same engines and report their load
+   * @param kept fraction, from 0 to 1, of the requests this node started earlier whose counterparts
+   *     the peers have not reported yet
    */
-  public void peersAlike(double peers, double kept) {
-    peersAlike = peers;
-    recentRequests *= kept;
-    recentTokenLayers *= kept;
+  public void setSimilarPeers(double peers, double unreportedFraction) {
+    similarPeers = peers;
+    recentRequests *= unreportedFraction;
+    recentTokenLayers *= unreportedFraction;
   }
 
-  /** Returns the requests of all nodes there, as far as it is known. */
-  public double requestsOfAll() {
-    return (inFlight + peersRequests) * unheardFactor + recentRequests * peersAlike;
+  /** Returns the estimated number of requests of all nodes at the endpoint. */
+  public double totalRequests() {
+    return (inFlight + peerRequests) * extrapolationFactor + recentRequests * similarPeers;
   }
 
-  /** Returns the tokens times layers that the requests of all nodes need there. */
-  public double tokenLayersOfAll() {
-    return (reservedTokenLayers + peersTokenLayers) * unheardFactor
-        + recentTokenLayers * peersAlike;
+  /**
+   * Returns the estimated memory that the requests of all nodes need at the endpoint, in tokens
+   * times layers.
+   */
+  public double totalTokenLayers() {
+    return (reservedTokenLayers + peerTokenLayers) * extrapolationFactor
+        + recentTokenLayers * similarPeers;
   }
 
-  /** Counts a request of this node in; every call is matched by one of {@link #release}. */
+  /**
+   * Reserves capacity for a request of this node. Every call must be matched by a call to {@link
+   * #release}.
+   */
   public void reserve(double tokenLayers) {
     inFlight++;
     reservedTokenLayers += tokenLayers;
@@ -278,13 +313,13 @@
     recentTokenLayers += tokenLayers;
   }
 
-  /** Counts a request of this node out. */
+  /** Releases the capacity that was reserved for a request of this node. */
   public void release(double tokenLayers) {
     inFlight--;
     reservedTokenLayers -= tokenLayers;
   }
 
-  /** Returns whether it holds all layers of the range. */
+  /** Returns whether the endpoint holds all layers of the range. */
   public boolean holds(LayerRange range) {
     return endpoint.layers().filter(held -> held.encloses(range)).isPresent();
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Which endpoints there are, what each holds, and what this node knows of their health and load.
+ * The table of endpoints: their layers, health and load as known to this node.
  *
- * <p>Input: the list of endpoints, outcomes of own calls, probes. Read by {@code relay}, {@code
- * placement} and {@code forwarding}. All classes are confined to the node's event loop.
+ * <p>Its inputs are the endpoint list, the outcomes of this node's calls, and health probes. It is
+ * read by {@code relay}, {@code placement} and {@code forwarding}. All classes are confined to the
+ * node's event loop.
  */
 package org.vaneworks.coordination.fleet;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardContext.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardContext.java
@@ -4,7 +4,7 @@
 import java.util.Random;
 import org.vaneworks.coordination.fleet.EngineControl;
 import org.vaneworks.coordination.fleet.Fleet;
-import org.vaneworks.coordination.fleet.HealthWatch;
+import org.vaneworks.coordination.fleet.HealthChecker;
 import org.vaneworks.coordination.quarantine.EndedEndpoints;
 import org.vaneworks.coordination.quarantine.Quarantine;
 import org.vaneworks.coordination.relay.PathPlanner;
@@ -32,7 +32,7 @@
     Random random,
     Fleet fleet,
     PathPlanner planner,
-    HealthWatch health,
+    HealthChecker health,
     EngineControl control,
     EndpointCalls calls,
     WaitingLines lines,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardRun.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardRun.java
@@ -6,8 +6,8 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.vaneworks.coordination.fleet.NobodyListensException;
-import org.vaneworks.coordination.fleet.Openings;
+import org.vaneworks.coordination.fleet.ConnectionRefusedException;
+import org.vaneworks.coordination.fleet.RequestSchedule;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 import org.vaneworks.coordination.forwarding.ElsewhereSearch.Departure;
 import org.vaneworks.coordination.relay.EnginePath;
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public Openings openings() {
+    public RequestSchedule openings() {
       return place.openings();
     }
 
@@ -280,7 +280,7 @@
     @Override
     public void end() {
       if (counts()) {
-        running.endpoint().noteSuccess();
+        running.endpoint().recordSuccess();
         finish();
       }
     }
@@ -307,7 +307,7 @@
   /** Takes what the endpoint says of itself, unless another may have answered in its place. */
   private void noteStatement(AnswerHead head, TrackedEndpoint endpoint) {
     if (head.matches() && head.status() != MISDIRECTED) {
-      context.fleet().statements().answered(endpoint, head.statement());
+      context.fleet().signals().recordAnswer(endpoint, head.statement());
     }
   }
 
@@ -382,7 +382,7 @@
       noteLost(endpoint);
     }
     noteFailure(cause, endpoint);
-    if (!place.onEngines() && (endpoint.noteFailure() > 1 || neverSent)) {
+    if (!place.onEngines() && (endpoint.recordFailure() > 1 || neverSent)) {
       endpoint.avoidUntil(now() + FAILED_PAUSE.toNanos());
     }
     attemptOver(
@@ -392,11 +392,11 @@
   }
 
   private void noteFailure(Throwable cause, TrackedEndpoint endpoint) {
-    if (cause instanceof NobodyListensException) {
-      context.fleet().noteNobodyListens(endpoint);
+    if (cause instanceof ConnectionRefusedException) {
+      context.fleet().recordConnectionRefused(endpoint);
     }
     if (place.onEngines()) {
-      context.health().checkAfterLoss(endpoint);
+      context.health().checkAfterDisconnect(endpoint);
     }
   }
 
@@ -558,7 +558,7 @@
       return;
     }
     boolean delivers = headPassed && progress.isRecent();
-    if (engine.processGone() || !delivers) {
+    if (engine.processDown() || !delivers) {
       goOnWithout(engine);
     }
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
@@ -15,7 +15,7 @@
 import java.util.function.Supplier;
 import org.vaneworks.coordination.fleet.EngineControl;
 import org.vaneworks.coordination.fleet.Fleet;
-import org.vaneworks.coordination.fleet.HealthWatch;
+import org.vaneworks.coordination.fleet.HealthChecker;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 import org.vaneworks.coordination.quarantine.SharedQuarantine;
 import org.vaneworks.coordination.relay.PathPlanner;
@@ -66,7 +66,8 @@
         .onRecovery(engine -> ImmutableList.copyOf(running).forEach(run -> run.recovered(engine)));
     context
         .fleet()
-        .onEnd(endpoint -> ImmutableList.copyOf(running).forEach(run -> run.ended(endpoint)));
+        .onIncarnationEnd(
+            endpoint -> ImmutableList.copyOf(running).forEach(run -> run.ended(endpoint)));
     context.fleet().onLeaving(this::moveOff);
     context
         .quarantine()
@@ -85,7 +86,7 @@
       Executor clock,
       Random random,
       Fleet fleet,
-      HealthWatch health,
+      HealthChecker health,
       EngineControl control,
       EndpointCalls calls,
       SharedQuarantine quarantine,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
@@ -92,7 +92,7 @@
       refused(AttemptEnd.PATH_LOST);
       return;
     }
-    if (!context.fleet().statements().admits(place.target(), CallPurpose.PATH_CHANGE)) {
+    if (!context.fleet().signals().admits(place.target(), CallPurpose.PATH_CHANGE)) {
       ForwardLog.pathChanged(request, cause, "the first engine wants no calls", "");
       beginElsewhereOrRetry();
       return;
@@ -105,7 +105,7 @@
       return;
     }
     String text = next.get().text();
-    context.fleet().statements().noteCall(place.target(), CallPurpose.PATH_CHANGE);
+    context.fleet().signals().recordCall(place.target(), CallPurpose.PATH_CHANGE);
     Async.onDone(
         context.control().repath(place.target().endpoint(), request.id(), text),
         context.clock(),
@@ -130,7 +130,7 @@
     } else if (obstacle.isPresent()) {
       long now = context.clock().currentTime(NANOSECONDS);
       obstacle.get().avoidUntil(now + OBSTACLE_PAUSE.toNanos());
-      obstacle.get().noteShortage(now);
+      obstacle.get().recordShortage(now);
       order(ImmutableList.of(lost, obstacle.get()));
     } else {
       retryLater();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Place.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Place.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.vaneworks.coordination.fleet.CallPurpose;
-import org.vaneworks.coordination.fleet.Openings;
+import org.vaneworks.coordination.fleet.RequestSchedule;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 import org.vaneworks.coordination.relay.EnginePath;
 import org.vaneworks.coordination.relay.PathPart;
@@ -189,18 +189,18 @@
 
   private void noteSend(TrackedEndpoint endpoint) {
     CallPurpose purpose = tried.isEmpty() ? CallPurpose.FIRST_SEND : CallPurpose.REPEATED_SEND;
-    context.fleet().statements().noteCall(endpoint, purpose);
+    context.fleet().signals().recordCall(endpoint, purpose);
   }
 
   private void noteLaterPart(TrackedEndpoint engine) {
-    context.fleet().statements().noteCall(engine, CallPurpose.LATER_PART);
+    context.fleet().signals().recordCall(engine, CallPurpose.LATER_HOP);
   }
 
   /** Returns when requests may begin at the service's endpoints if they have room. */
-  Openings openings() {
+  RequestSchedule openings() {
     return model
-        .map(profile -> context.fleet().openings(service, profile.layers()))
-        .orElseGet(() -> context.fleet().openings(service));
+        .map(profile -> context.fleet().requestSchedule(service, profile.layers()))
+        .orElseGet(() -> context.fleet().requestSchedule(service));
   }
 
   /** Returns a path with the same first part that avoids some engines. */
@@ -211,7 +211,7 @@
 
   /** Returns the engine of the same service at an address. */
   Optional<TrackedEndpoint> engineAt(HostPort address) {
-    return context.fleet().at(service, address);
+    return context.fleet().find(service, address);
   }
 
   /** Leaves the endpoint alone that was in the way of a request, and returns it. */
@@ -220,11 +220,11 @@
     boolean misdirected = refused.status() == MISDIRECTED;
     Duration pause = misdirected ? MISPLACED_PAUSE : FULL_PAUSE;
     obstacle.avoidUntil(now() + pause.toNanos());
-    if (misdirected && obstacle.endpoint().incarnation().isTold()) {
+    if (misdirected && obstacle.endpoint().incarnation().isKnown()) {
       // It may have started again and hold nothing; its report tells so before the list does.
       context.health().check(obstacle);
     }
-    obstacle.noteShortage(now());
+    obstacle.recordShortage(now());
     return obstacle;
   }
 
@@ -275,7 +275,7 @@
     Optional<TrackedEndpoint> best = Optional.empty();
     double bestLoad = Double.MAX_VALUE;
     for (TrackedEndpoint replica : context.fleet().usable(service)) {
-      double load = replica.requestsOfAll() + context.random().nextDouble();
+      double load = replica.totalRequests() + context.random().nextDouble();
       load += tried.contains(replica) ? replica.endpoint().slots() : 0;
       if (load < bestLoad) {
         best = Optional.of(replica);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressWatch.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressWatch.java
@@ -111,7 +111,7 @@
       if (!shortPause && !fastLately) {
         context.health().checkPace(part.engine());
       }
-      part.engine().noteProgress(now, fast);
+      part.engine().recordProgress(now, fast);
     }
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/WaitingLine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/WaitingLine.java
@@ -10,7 +10,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.OptionalLong;
-import org.vaneworks.coordination.fleet.Openings;
+import org.vaneworks.coordination.fleet.RequestSchedule;
 
 /**
  * Requests of one service that wait for room at its endpoints.
@@ -61,7 +61,7 @@
     }
 
     /** Returns when requests may begin at its endpoints if they have room. */
-    Openings openings();
+    RequestSchedule openings();
 
     /** It won't be served: there is no room in time. */
     void refuse();
@@ -199,11 +199,11 @@
 
   private boolean cannotBeServed(Entry entry, int before) {
     Waiter waiter = entry.waiter();
-    Openings openings = waiter.openings();
-    if (!openings.any()) {
+    RequestSchedule openings = waiter.openings();
+    if (!openings.allowsAny()) {
       return !waiter.continues() || now() + waitBehind(before) > waiter.waitsUntil();
     }
-    double expected = Math.max(now() + waitBehind(before), openings.at(before, now()));
+    double expected = Math.max(now() + waitBehind(before), openings.timeOf(before, now()));
     return expected > waiter.waitsUntil();
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/load/EnginePace.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/load/EnginePace.java
@@ -3,13 +3,13 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * A slow engine as some node saw it itself.
+ * The pace of a slow engine, as the engine reported it to some node.
  *
- * @param endpointKey short name of the engine, see {@link EndpointLoad#keyOf}
- * @param pace how many times slower than its kind it says that it is
+ * @param endpointKey short key of the engine, see {@link EndpointLoad#keyOf}
+ * @param pace the engine's step time as a multiple of that of its kind; at least 1
  */
 public record EnginePace(int endpointKey, double pace) {
-  /** Checks the pace. */
+  /** Checks that the pace is at least 1. */
   public EnginePace {
     checkArgument(pace >= 1, "pace must be at least 1: %s", pace);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/load/LoadExchange.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/load/LoadExchange.java
@@ -16,62 +16,72 @@
 import org.vaneworks.state.HostPort;
 
 /**
- * Tells the peers in turn what requests take of the endpoints, and keeps what they tell.
+ * Reports this node's load on endpoints to peers in turn, and keeps the load that they report.
  *
- * <p>Nodes that decide by old reports prefer the same engines, fill them and leave them together:
- * streams last one to two seconds, so a report has to be younger. Hence two levels. A node tells
- * its own load to each node of its group, those of its data centre, whose engines it uses most. To
- * each other group it tells the sum of its group, once a round and to one node there; as all
- * members do so, each node hears of each group about as often as of each member. Told with it is
- * what others would find out late or not at all: engines that a node knows at first hand to be
- * slow, limits that endpoints named to it, and the newest version of the configuration that it has
- * seen. A node's bytes are bounded, whatever the number of peers and endpoints.
+ * <p>Nodes that decide by outdated reports prefer the same engines, fill them and abandon them
+ * together. Streams last one to two seconds, so reports have to be more recent than that. Reports
+ * are therefore exchanged on two levels. A node sends its own load to each member of its group,
+ * which consists of nodes of its data centre, whose engines it uses most. Once per round it also
+ * sends the total of its group to one node of each other group. As all members do so, a node
+ * receives reports about each group about as often as from each member. The reports also contain
+ * information that other nodes would get late or not at all: slow engines, limits that endpoints
+ * announced, and the newest configuration version that the node has seen. The bytes that a node
+ * sends are bounded, whatever the number of peers and endpoints.
  *
- * <p>What is heard is noted with the endpoints when a choice among them is near, not at each
- * report: a node begins a few requests a second and hears 25 reports. A group without requests
- * tells its peers that a fifth as often. The two halve what an idle node spends: 31 to 15 ms of
- * processor time a second with a hundred endpoints (16 nodes on one machine). Confined to the
- * node's event loop.
+ * <p>Received loads are copied to the endpoints before a selection among them, not with each
+ * report: a node starts a few requests per second and receives 25 reports. A group without requests
+ * sends a fifth as many reports. Together these two measures reduce the processor time of an idle
+ * node from 31 to 15 ms per second with a hundred endpoints (16 nodes on one machine). Confined to
+ * the node's event loop.
  */
 public final class LoadExchange {
-  /** A small fleet needs no fresher reports: its nodes hear each other some times a second. */
-  private static final Duration SHORTEST_PAUSE = Duration.ofMillis(40);
+  /**
+   * Minimum time between two reports. In a small fleet, nodes then report to each other several
+   * times a second, which suffices.
+   */
+  private static final Duration MIN_PAUSE = Duration.ofMillis(40);
 
   /**
-   * Between reports of a node whose group has no requests, once all were told: they say nothing
-   * new, and each costs as much processor time as any other.
+   * Minimum time between reports of a node whose group has no requests, once all peers have been
+   * informed. Such reports contain nothing new, and each costs as much processor time as any other.
    */
-  private static final Duration QUIET_PAUSE = Duration.ofMillis(250);
+  private static final Duration IDLE_PAUSE = Duration.ofMillis(250);
 
   /**
-   * A node wakes up for its reports this often at most, then sends those that are due and takes
-   * those that came: waking a process that has little to do costs more than a report.
+   * Minimum interval at which a node wakes up to send the reports that are due and to read those
+   * received. Waking up an almost idle process costs more than a report.
    */
-  private static final Duration SHORTEST_WAKE = Duration.ofMillis(100);
+  private static final Duration MIN_WAKE_INTERVAL = Duration.ofMillis(100);
 
   /**
-   * The same in a large fleet, whose rounds take the better part of a second: what is known gets
-   * older by an eighth of a round on average, and a node of 64 wakes 6 times a second, not 10.
+   * In a large fleet, a round takes most of a second, and a node wakes up only this often per
+   * round. Known loads get older by an eighth of a round on average, and a node among 64 wakes up 6
+   * instead of 10 times a second.
    */
-  private static final int WAKES_A_ROUND = 4;
+  private static final int WAKES_PER_ROUND = 4;
 
-  /** The same for a node whose group has no requests. */
-  private static final Duration QUIET_WAKE = Duration.ofMillis(500);
+  /** Minimum wake-up interval of a node whose group has no requests. */
+  private static final Duration IDLE_WAKE_INTERVAL = Duration.ofMillis(500);
 
-  /** What a node may send, in bytes a second: 5,000 are allowed for all control traffic. */
+  /** Budget for load reports in bytes per second, of the 5,000 allowed for all control traffic. */
   private static final double BYTES_PER_SECOND = 4500;
 
-  /** A datagram's own headers. */
-  private static final int DATAGRAM_BYTES = 28;
+  /** Size of a datagram's IP and UDP headers. */
+  private static final int DATAGRAM_HEADER_BYTES = 28;
 
-  /** Mean age of what a node knows of a peer, in rounds of reports. */
-  private static final double MEAN_AGE = 0.5;
+  /** Mean age of the known load of a peer, in rounds of reports. */
+  private static final double MEAN_AGE_ROUNDS = 0.5;
 
-  /** A node or group that was not heard for this many rounds is gone or can't reach this node. */
+  /**
+   * Number of rounds without a report after which a node or group is considered gone or unable to
+   * reach this node.
+   */
   private static final int ROUNDS_TO_EXPIRY = 4;
 
-  /** The same at least: several reports in a row may be lost with a packet burst. */
-  private static final Duration SHORTEST_EXPIRY = Duration.ofMillis(1500);
+  /**
+   * Minimum time until a report expires; a burst of packet loss may drop several reports in a row.
+   */
+  private static final Duration MIN_EXPIRY = Duration.ofMillis(1500);
 
   private final Executor clock;
   private final Fleet fleet;
@@ -79,27 +89,28 @@
   private final String dataCentre;
   private final Supplier<ImmutableList<Peer>> peers;
   private final IntSupplier liveNodes;
-  private final LongSupplier configuration;
+  private final LongSupplier configurationVersion;
   private final LoadSender sender;
-  private final HeardLoads heardLoads = new HeardLoads();
-  private ImmutableList<Peer> grouped = ImmutableList.of();
+  private final PeerLoads peerLoads = new PeerLoads();
+  private ImmutableList<Peer> groupedPeers = ImmutableList.of();
   private PeerGroups peerGroups;
   private int turn;
-  private int nextOutside;
+  private int nextNonMember;
 
   /**
-   * After the last report, if it was not for the quiet; peers with requests pause about as long.
+   * The pause after the last report, ignoring the longer pause of an idle group. Peers with
+   * requests are assumed to pause about as long.
    */
-  private long pauseNanos = SHORTEST_PAUSE.toNanos();
+  private long pauseNanos = MIN_PAUSE.toNanos();
 
-  /** Reports in a row that told of no request. */
+  /** Number of consecutive empty reports. */
   private int emptyReports;
 
-  /** Own reports since the loads were noted with the endpoints. */
-  private int reportsSinceNoted;
+  /** Number of reports sent since the loads were last copied to the endpoints. */
+  private int reportsSinceCopy;
 
   private boolean outdated = true;
-  private long notedAt;
+  private long copiedAt;
   private boolean stopped;
 
   private LoadExchange(
@@ -109,7 +120,7 @@
       String dataCentre,
       Supplier<ImmutableList<Peer>> peers,
       IntSupplier liveNodes,
-      LongSupplier configuration,
+      LongSupplier configurationVersion,
       LoadSender sender) {
     this.clock = checkNotNull(clock);
     this.fleet = checkNotNull(fleet);
@@ -117,23 +128,24 @@
     this.dataCentre = checkNotNull(dataCentre);
     this.peers = checkNotNull(peers);
     this.liveNodes = checkNotNull(liveNodes);
-    this.configuration = checkNotNull(configuration);
+    this.configurationVersion = checkNotNull(configurationVersion);
     this.sender = checkNotNull(sender);
-    peerGroups = PeerGroups.of(box, dataCentre, grouped);
-    fleet.onChoice(this::noteWithEndpoints);
-    // Nodes begin with different ones, so that a group is told by its members in turn.
-    nextOutside = box.hashCode();
+    peerGroups = PeerGroups.of(box, dataCentre, groupedPeers);
+    fleet.beforeSelection(this::copyToEndpoints);
+    // Nodes start at different positions, so that the members of a group do not report to the same
+    // node simultaneously.
+    nextNonMember = box.hashCode();
     turn = box.hashCode();
   }
 
   /**
-   * Returns an exchange that sends nothing before {@link #start}.
+   * Creates an exchange that sends nothing until {@link #start} is called.
    *
    * @param box this node's box
-   * @param dataCentre where it stands
+   * @param dataCentre the data centre of this node's box
    * @param peers the other live nodes, in the same order on each call unless they change
-   * @param liveNodes number of live nodes, this one included
-   * @param configuration the newest version of the configuration that this node has seen; 0 if none
+   * @param liveNodes the number of live nodes, including this one
+   * @param configurationVersion the newest configuration version that this node has seen; 0 if none
    */
   public static LoadExchange create(
       Executor clock,
@@ -142,128 +154,139 @@
       String dataCentre,
       Supplier<ImmutableList<Peer>> peers,
       IntSupplier liveNodes,
-      LongSupplier configuration,
+      LongSupplier configurationVersion,
       LoadSender sender) {
-    return new LoadExchange(clock, fleet, box, dataCentre, peers, liveNodes, configuration, sender);
+    return new LoadExchange(
+        clock, fleet, box, dataCentre, peers, liveNodes, configurationVersion, sender);
   }
 
-  /** Begins to tell the peers. */
+  /** Starts sending reports. */
   public void start() {
-    tellAfter(SHORTEST_PAUSE.toNanos());
+    scheduleReports(MIN_PAUSE.toNanos());
   }
 
-  /** Tells nothing more; peers forget this node's load after a while. */
+  /** Stops sending reports. Peers discard this node's load when its last report expires. */
   public void stop() {
     stopped = true;
   }
 
-  private void tellAfter(long nanos) {
-    clock.schedule(this::tell, nanos, NANOSECONDS);
+  private void scheduleReports(long nanos) {
+    clock.schedule(this::sendReports, nanos, NANOSECONDS);
   }
 
-  private void tell() {
+  private void sendReports() {
     if (stopped) {
       return;
     }
     sender.collect();
-    regroup();
-    tellAfter(tellThoseDue());
+    updateGroups();
+    scheduleReports(sendDueReports());
   }
 
-  /** Tells one peer after the other until the next wake pays for them; returns the time to it. */
-  private long tellThoseDue() {
-    long paid = 0;
-    int told = 0;
-    while (told < peerGroups.round() && paid < shortestWakeNanos()) {
-      paid += pauseAfter(tellNext());
-      told++;
+  /**
+   * Sends reports until their pauses add up to the next wake-up; returns the time until then in
+   * nanoseconds.
+   */
+  private long sendDueReports() {
+    long budgetedNanos = 0;
+    int sent = 0;
+    while (sent < peerGroups.reportsPerRound() && budgetedNanos < wakeIntervalNanos()) {
+      budgetedNanos += pauseAfter(sendNext());
+      sent++;
     }
-    reportsSinceNoted += told;
-    return Math.max(paid, SHORTEST_PAUSE.toNanos());
+    reportsSinceCopy += sent;
+    return Math.max(budgetedNanos, MIN_PAUSE.toNanos());
   }
 
-  private long shortestWakeNanos() {
-    if (isQuiet()) {
-      return QUIET_WAKE.toNanos();
+  private long wakeIntervalNanos() {
+    if (isIdle()) {
+      return IDLE_WAKE_INTERVAL.toNanos();
     }
-    return Math.max(SHORTEST_WAKE.toNanos(), peerGroups.round() * pauseNanos / WAKES_A_ROUND);
+    return Math.max(
+        MIN_WAKE_INTERVAL.toNanos(), peerGroups.reportsPerRound() * pauseNanos / WAKES_PER_ROUND);
   }
 
-  /** Returns whether all peers were told that this group has no requests. */
-  private boolean isQuiet() {
-    return emptyReports > peerGroups.round();
+  /** Returns whether all peers have been informed that this group has no requests. */
+  private boolean isIdle() {
+    return emptyReports > peerGroups.reportsPerRound();
   }
 
-  private void regroup() {
-    ImmutableList<Peer> now = peers.get();
-    if (!now.equals(grouped)) {
-      grouped = now;
-      peerGroups = PeerGroups.of(box, dataCentre, now);
+  private void updateGroups() {
+    ImmutableList<Peer> currentPeers = peers.get();
+    if (!currentPeers.equals(groupedPeers)) {
+      groupedPeers = currentPeers;
+      peerGroups = PeerGroups.of(box, dataCentre, currentPeers);
     }
   }
 
-  /** Tells the next in turn; returns the bytes that it took. */
-  private int tellNext() {
-    turn = Math.floorMod(turn + 1, peerGroups.round());
+  /** Sends a report to the next peer in turn; returns its size in bytes. */
+  private int sendNext() {
+    turn = Math.floorMod(turn + 1, peerGroups.reportsPerRound());
     if (turn < peerGroups.members().size()) {
       return send(peerGroups.members().get(turn), ownReport());
     }
-    ImmutableList<HostPort> outside = peerGroups.outside();
-    nextOutside = Math.floorMod(nextOutside + 1, outside.size());
-    return send(outside.get(nextOutside), groupReport());
+    ImmutableList<HostPort> nonMembers = peerGroups.nonMembers();
+    nextNonMember = Math.floorMod(nextNonMember + 1, nonMembers.size());
+    return send(nonMembers.get(nextNonMember), groupReport());
   }
 
   private int send(HostPort peer, LoadReport report) {
     emptyReports = report.isEmpty() ? emptyReports + 1 : 0;
-    return sender.send(peer, report.ofConfiguration(configuration.getAsLong()));
+    return sender.send(peer, report.withConfigurationVersion(configurationVersion.getAsLong()));
   }
 
   private long pauseAfter(int bytes) {
-    double seconds = (bytes + DATAGRAM_BYTES) / BYTES_PER_SECOND;
-    pauseNanos = Math.max((long) (seconds * 1e9), SHORTEST_PAUSE.toNanos());
-    return isQuiet() ? Math.max(pauseNanos, QUIET_PAUSE.toNanos()) : pauseNanos;
+    double seconds = (bytes + DATAGRAM_HEADER_BYTES) / BYTES_PER_SECOND;
+    pauseNanos = Math.max((long) (seconds * 1e9), MIN_PAUSE.toNanos());
+    return isIdle() ? Math.max(pauseNanos, IDLE_PAUSE.toNanos()) : pauseNanos;
   }
 
   private LoadReport ownReport() {
-    return LoadReport.ofNode(box, ownLoads(), ownSlow(), ownLimits());
+    return LoadReport.ofNode(box, ownLoads(), ownSlowEngines(), ownLimits());
   }
 
-  private ImmutableList<EnginePace> ownSlow() {
+  private ImmutableList<EnginePace> ownSlowEngines() {
     return fleet.all().stream()
-        .filter(TrackedEndpoint::slowAtFirstHand)
-        .map(engine -> new EnginePace(keyOf(engine), engine.firstHandPace()))
+        .filter(TrackedEndpoint::reportsSlow)
+        .map(engine -> new EnginePace(keyOf(engine), engine.reportedPace()))
         .collect(ImmutableList.toImmutableList());
   }
 
-  /** Returns the limits that endpoints named to this node itself, and those that ended. */
-  private ImmutableList<EndpointLimit> ownLimits() {
-    return limits(fleet.statements().limits().ownNews());
+  /**
+   * Returns the limits that endpoints announced to this node directly, and those that they
+   * withdrew.
+   */
+  private ImmutableList<ReportedRateLimit> ownLimits() {
+    return limits(fleet.signals().rateLimits().recentOwnChanges());
   }
 
-  private ImmutableList<EndpointLimit> limits(ImmutableList<TrackedEndpoint> endpoints) {
+  private ImmutableList<ReportedRateLimit> limits(ImmutableList<TrackedEndpoint> endpoints) {
     long now = now();
     return endpoints.stream()
         .map(
             endpoint ->
-                new EndpointLimit(
+                new ReportedRateLimit(
                     keyOf(endpoint),
-                    endpoint.startLimit().stated(),
-                    Duration.ofNanos(Math.max(0, now - endpoint.startLimit().heardAt()))))
+                    endpoint.rateLimit().limit(),
+                    Duration.ofNanos(Math.max(0, now - endpoint.rateLimit().receivedAt()))))
         .collect(ImmutableList.toImmutableList());
   }
 
-  private void take(EndpointLimit limit) {
-    long heardAt = now() - limit.age().toNanos();
+  private void applyLimit(ReportedRateLimit limit) {
+    long receivedAt = now() - limit.age().toNanos();
     fleet.all().stream()
         .filter(endpoint -> keyOf(endpoint) == limit.endpointKey())
         .forEach(
-            endpoint -> fleet.statements().limits().heardOfPeer(endpoint, limit.stated(), heardAt));
+            endpoint ->
+                fleet.signals().rateLimits().recordFromPeer(endpoint, limit.limit(), receivedAt));
   }
 
-  /** Returns the slow engines that this node or members of its group know at first hand. */
-  private ImmutableList<EnginePace> groupSlow() {
-    Map<Integer, Double> paces = heardLoads.slowOfMembers();
-    ownSlow().forEach(engine -> paces.merge(engine.endpointKey(), engine.pace(), Math::max));
+  /**
+   * Returns the engines that reported to this node or to members of its group that they are slow.
+   */
+  private ImmutableList<EnginePace> groupSlowEngines() {
+    Map<Integer, Double> paces = peerLoads.slowEnginesOfMembers();
+    ownSlowEngines().forEach(engine -> paces.merge(engine.endpointKey(), engine.pace(), Math::max));
     return paces.entrySet().stream()
         .map(entry -> new EnginePace(entry.getKey(), entry.getValue()))
         .collect(ImmutableList.toImmutableList());
@@ -288,79 +311,81 @@
   }
 
   private LoadReport groupReport() {
-    forgetSilent();
+    expireReports();
     ImmutableList.Builder<EndpointLoad> loads = ImmutableList.builder();
     for (TrackedEndpoint endpoint : fleet.all()) {
       int key = keyOf(endpoint);
-      LoadSums.Sum others = heardLoads.ofMembers(key);
-      int requests = endpoint.inFlight() + others.requests();
+      LoadSums.Sum memberLoad = peerLoads.memberTotal(key);
+      int requests = endpoint.inFlight() + memberLoad.requests();
       if (requests > 0) {
-        long tokenLayers = ownTokenLayers(endpoint) + others.tokenLayers();
+        long tokenLayers = ownTokenLayers(endpoint) + memberLoad.tokenLayers();
         loads.add(new EndpointLoad(key, requests, tokenLayers));
       }
     }
-    int nodes = 1 + heardLoads.members();
+    int nodes = 1 + peerLoads.members();
     return new LoadReport(
         box,
-        peerGroups.own(),
+        peerGroups.ownGroup(),
         nodes,
         loads.build(),
-        groupSlow(),
-        limits(fleet.statements().limits().news()),
+        groupSlowEngines(),
+        limits(fleet.signals().rateLimits().recentChanges()),
         0);
   }
 
-  /** Takes a peer's report. */
-  public void heard(LoadReport report) {
+  /** Processes a peer's report. */
+  public void receive(LoadReport report) {
     if (report.sender().equals(box)) {
       return;
     }
-    report.limits().forEach(this::take);
-    boolean known = report.ofGroup() && report.group().equals(peerGroups.own());
-    if (!known) {
-      heardLoads.keep(report, now());
+    report.limits().forEach(this::applyLimit);
+    boolean ownTotal = report.isGroupTotal() && report.group().equals(peerGroups.ownGroup());
+    if (!ownTotal) {
+      peerLoads.put(report, now());
       outdated = true;
     }
   }
 
-  private void forgetSilent() {
+  private void expireReports() {
     long now = now();
-    heardLoads.forgetBefore(now - expiryNanos(pauseNanos), now - expiryNanos(quietPauseNanos()));
+    peerLoads.expire(now - expiryNanos(pauseNanos), now - expiryNanos(idlePauseNanos()));
   }
 
-  private long quietPauseNanos() {
-    return Math.max(pauseNanos, QUIET_PAUSE.toNanos());
+  private long idlePauseNanos() {
+    return Math.max(pauseNanos, IDLE_PAUSE.toNanos());
   }
 
-  private long expiryNanos(long pauseOfPeers) {
-    long rounds = pauseOfPeers * ROUNDS_TO_EXPIRY * Math.max(1, peerGroups.round());
-    return Math.max(rounds, SHORTEST_EXPIRY.toNanos());
+  private long expiryNanos(long peerPauseNanos) {
+    long rounds = peerPauseNanos * ROUNDS_TO_EXPIRY * Math.max(1, peerGroups.reportsPerRound());
+    return Math.max(rounds, MIN_EXPIRY.toNanos());
   }
 
-  /** Notes with the endpoints what is known of their load, before a choice among them. */
-  private void noteWithEndpoints() {
+  /** Copies the known loads to the endpoints, before a selection among them. */
+  private void copyToEndpoints() {
     long now = now();
-    if (!outdated && now - notedAt < SHORTEST_WAKE.toNanos()) {
+    if (!outdated && now - copiedAt < MIN_WAKE_INTERVAL.toNanos()) {
       return;
     }
     outdated = false;
-    notedAt = now;
-    forgetSilent();
-    int known = 1 + heardLoads.nodes();
-    int live = Math.max(known, liveNodes.getAsInt());
-    // Nodes that were not heard are taken to be like the others.
-    double factor = (double) live / known;
-    // Their part of what this node begins is in that factor already.
-    double peersAlike = live == 1 ? 0 : peerGroups.neighbours() * (known - 1.0) / (live - 1.0);
-    double kept = Math.exp(-reportsSinceNoted / Math.max(1, MEAN_AGE * peerGroups.round()));
-    reportsSinceNoted = 0;
-    Map<Integer, Double> slow = heardLoads.slowOfAll();
+    copiedAt = now;
+    expireReports();
+    int knownNodes = 1 + peerLoads.nodes();
+    int liveCount = Math.max(knownNodes, liveNodes.getAsInt());
+    // Nodes whose load is unknown are assumed to resemble the others.
+    double extrapolationFactor = (double) liveCount / knownNodes;
+    // The factor above already includes the unknown nodes' share of similar requests.
+    double similarPeers =
+        liveCount == 1 ? 0 : peerGroups.dataCentrePeers() * (knownNodes - 1.0) / (liveCount - 1.0);
+    double unreportedFraction =
+        Math.exp(-reportsSinceCopy / Math.max(1, MEAN_AGE_ROUNDS * peerGroups.reportsPerRound()));
+    reportsSinceCopy = 0;
+    Map<Integer, Double> slowEngines = peerLoads.slowEnginesOfAll();
     for (TrackedEndpoint endpoint : fleet.all()) {
       int key = keyOf(endpoint);
-      endpoint.peersPace(slow.getOrDefault(key, 1.0));
-      LoadSums.Sum peersSum = heardLoads.ofAll(key);
-      endpoint.peersLoad(peersSum.requests(), peersSum.tokenLayers(), factor);
-      endpoint.peersAlike(peersAlike, kept);
+      endpoint.setPaceReportedByPeers(slowEngines.getOrDefault(key, 1.0));
+      LoadSums.Sum peerLoad = peerLoads.total(key);
+      endpoint.setPeerLoad(peerLoad.requests(), peerLoad.tokenLayers(), extrapolationFactor);
+      endpoint.setSimilarPeers(similarPeers, unreportedFraction);
     }
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/load/LoadReport.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/load/LoadReport.java
@@ -6,42 +6,45 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * What the requests of one node, or of a group of nodes, take of the endpoints; endpoints without
- * any are left out.
+ * The load that the requests of one node, or of a group of nodes, put on endpoints. Endpoints
+ * without load are omitted.
  *
- * @param sender the box of the node that sends it
+ * @param sender the box of the sending node
  * @param group the group whose loads are summed; empty for the sender's own load
- * @param nodes how many nodes' loads are summed
- * @param loads one entry an endpoint
- * @param slow the engines that these nodes know to be slow at first hand
- * @param limits what endpoints said to these nodes about the requests that they take
- * @param configuration the newest version of the configuration that the sender has seen; 0 if none
+ * @param nodes number of nodes whose loads are summed
+ * @param loads the load of each endpoint
+ * @param slowEngines the engines that reported to these nodes that they are slow
+ * @param limits the rate limits that endpoints announced to these nodes
+ * @param configurationVersion the newest configuration version that the sender has seen; 0 if none
  */
 public record LoadReport(
     String sender,
     String group,
     int nodes,
     ImmutableList<EndpointLoad> loads,
-    ImmutableList<EnginePace> slow,
-    ImmutableList<EndpointLimit> limits,
-    long configuration) {
-  /** Checks that all parts are given. */
+    ImmutableList<EnginePace> slowEngines,
+    ImmutableList<ReportedRateLimit> limits,
+    long configurationVersion) {
+  /** Checks that the components are given and in range. */
   public LoadReport {
     checkNotNull(sender);
     checkNotNull(group);
     checkArgument(nodes > 0, "nodes must be positive: %s", nodes);
     checkNotNull(loads);
-    checkNotNull(slow);
+    checkNotNull(slowEngines);
     checkNotNull(limits);
-    checkArgument(configuration >= 0, "configuration must not be negative: %s", configuration);
+    checkArgument(
+        configurationVersion >= 0,
+        "configurationVersion must not be negative: %s",
+        configurationVersion);
   }
 
-  /** Returns whether it tells of no request, of no slow engine and of no limit. */
+  /** Returns whether the report contains no load, no slow engine and no limit. */
   public boolean isEmpty() {
-    return loads.isEmpty() && slow.isEmpty() && limits.isEmpty();
+    return loads.isEmpty() && slowEngines.isEmpty() && limits.isEmpty();
   }
 
-  /** Returns the report of one node that knows of no slow engine and of no limit. */
+  /** Returns the report of one node without slow engines and limits. */
   public static LoadReport ofNode(String sender, ImmutableList<EndpointLoad> loads) {
     return ofNode(sender, loads, ImmutableList.of(), ImmutableList.of());
   }
@@ -50,18 +53,18 @@
   public static LoadReport ofNode(
       String sender,
       ImmutableList<EndpointLoad> loads,
-      ImmutableList<EnginePace> slow,
-      ImmutableList<EndpointLimit> limits) {
-    return new LoadReport(sender, "", 1, loads, slow, limits, 0);
+      ImmutableList<EnginePace> slowEngines,
+      ImmutableList<ReportedRateLimit> limits) {
+    return new LoadReport(sender, "", 1, loads, slowEngines, limits, 0);
   }
 
-  /** Returns this report with the newest version of the configuration that the sender has seen. */
-  LoadReport ofConfiguration(long version) {
-    return new LoadReport(sender, group, nodes, loads, slow, limits, version);
+  /** Returns a copy with the newest configuration version that the sender has seen. */
+  LoadReport withConfigurationVersion(long version) {
+    return new LoadReport(sender, group, nodes, loads, slowEngines, limits, version);
   }
 
-  /** Returns whether it is the sum over a group. */
-  public boolean ofGroup() {
+  /** Returns whether the report is the total of a group. */
+  public boolean isGroupTotal() {
     return !group.isEmpty();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/load/LoadSender.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/load/LoadSender.java
@@ -2,12 +2,18 @@
 
 import org.vaneworks.state.HostPort;
 
-/** Sends a report to a peer; it may be lost on the way, a newer one follows. */
+/**
+ * Sends load reports to peers, and delivers received ones. Reports may be lost, as newer ones
+ * follow.
+ */
 @FunctionalInterface
 public interface LoadSender {
-  /** Sends without waiting; returns how many bytes the report takes. */
+  /** Sends a report without waiting and returns its size in bytes. */
   int send(HostPort peer, LoadReport report);
 
-  /** Hands over the reports that have come since; one that hands over each at once does nothing. */
+  /**
+   * Delivers the reports received since the last call. Implementations that deliver each report
+   * immediately need not override this.
+   */
   default void collect() {}
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/load/LoadSums.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/load/LoadSums.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /**
- * Loads of endpoints, summed over reports.
+ * The loads of endpoints, summed over reports.
  *
- * <p>Kept up to date by each report as it comes: adding all reports up anew, many times a second,
- * grows with nodes times endpoints. Confined to the node's event loop.
+ * <p>Updated incrementally with each report: summing all reports again, many times a second, would
+ * cost time proportional to nodes times endpoints. Confined to the node's event loop.
  */
 final class LoadSums {
-  /** The load of one endpoint. */
+  /** The total load of one endpoint. */
   static final class Sum {
-    private static final Sum NOTHING = new Sum();
+    private static final Sum ZERO = new Sum();
 
     private int requests;
     private long tokenLayers;
@@ -48,8 +48,8 @@
     }
   }
 
-  /** Returns the present sum of an endpoint; it changes with later reports. */
+  /** Returns the current sum of an endpoint. The returned object may change with later reports. */
   Sum of(int endpointKey) {
-    return sums.getOrDefault(endpointKey, Sum.NOTHING);
+    return sums.getOrDefault(endpointKey, Sum.ZERO);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/load/PeerGroups.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/load/PeerGroups.java
@@ -9,64 +9,66 @@
 import org.vaneworks.state.HostPort;
 
 /**
- * How the live nodes are grouped: those of a data centre are one group, or several where they are
- * many.
+ * The partition of the live nodes into groups. The nodes of a data centre form one group, or
+ * several if there are many.
  *
- * <p>A box's group follows from its name and the number of boxes in its data centre, so nodes that
- * come or go move no other node, unless the number of groups doubles or halves. Immutable.
+ * <p>A box's group depends only on its name and the number of boxes in its data centre. Nodes that
+ * join or leave therefore do not change the group of any other node, unless the number of groups
+ * doubles or halves. Immutable.
  */
 final class PeerGroups {
   /**
-   * Most boxes of a group on average. A node tells its own load to each member and the sum of its
-   * group once to each other group; both rounds are short while groups are about as many as their
-   * members, which in a fleet of 350 are 19.
+   * Maximum average number of boxes per group. A node sends its own load to each member, and its
+   * group's total to one node of each other group. Both rounds are short when there are about as
+   * many groups as members per group, which is 19 in a fleet of 350.
    */
-  private static final int MOST_MEMBERS = 20;
+  private static final int MAX_MEAN_MEMBERS = 20;
 
-  private final String own;
+  private final String ownGroup;
   private final ImmutableList<HostPort> members;
-  private final ImmutableList<HostPort> outside;
+  private final ImmutableList<HostPort> nonMembers;
   private final int otherGroups;
-  private final int neighbours;
+  private final int dataCentrePeers;
 
   private PeerGroups(
-      String own,
+      String ownGroup,
       ImmutableList<HostPort> members,
-      ImmutableList<HostPort> outside,
+      ImmutableList<HostPort> nonMembers,
       int otherGroups,
-      int neighbours) {
-    this.own = own;
+      int dataCentrePeers) {
+    this.ownGroup = ownGroup;
     this.members = members;
-    this.outside = outside;
+    this.nonMembers = nonMembers;
     this.otherGroups = otherGroups;
-    this.neighbours = neighbours;
+    this.dataCentrePeers = dataCentrePeers;
   }
 
-  /** Returns the groups as the node on that box sees them. */
+  /** Returns the groups as seen by the node on the given box. */
   static PeerGroups of(String box, String dataCentre, ImmutableList<Peer> peers) {
     Map<String, Integer> boxes = new HashMap<>();
     boxes.put(dataCentre, 1);
     peers.forEach(peer -> boxes.merge(peer.dataCentre(), 1, Integer::sum));
-    String own = group(box, dataCentre, boxes.get(dataCentre));
+    String ownGroup = groupOf(box, dataCentre, boxes.get(dataCentre));
     ImmutableList.Builder<HostPort> members = ImmutableList.builder();
-    ImmutableList.Builder<HostPort> outside = ImmutableList.builder();
-    Set<String> others = new HashSet<>();
+    ImmutableList.Builder<HostPort> nonMembers = ImmutableList.builder();
+    Set<String> otherGroupNames = new HashSet<>();
     for (Peer peer : peers) {
-      String group = group(peer.box(), peer.dataCentre(), boxes.get(peer.dataCentre()));
-      if (group.equals(own)) {
+      String group = groupOf(peer.box(), peer.dataCentre(), boxes.get(peer.dataCentre()));
+      if (group.equals(ownGroup)) {
         members.add(peer.address());
       } else {
-        outside.add(peer.address());
-        others.add(group);
+        nonMembers.add(peer.address());
+        otherGroupNames.add(group);
       }
     }
-    int neighbours = boxes.get(dataCentre) - 1;
-    return new PeerGroups(own, members.build(), outside.build(), others.size(), neighbours);
+    int dataCentrePeers = boxes.get(dataCentre) - 1;
+    return new PeerGroups(
+        ownGroup, members.build(), nonMembers.build(), otherGroupNames.size(), dataCentrePeers);
   }
 
-  private static String group(String box, String dataCentre, int boxes) {
+  private static String groupOf(String box, String dataCentre, int boxes) {
     int groups = 1;
-    while (boxes > groups * MOST_MEMBERS) {
+    while (boxes > groups * MAX_MEAN_MEMBERS) {
       groups *= 2;
     }
     int hash = box.hashCode();
@@ -75,27 +77,27 @@
   }
 
   /** Returns the name of this node's group. */
-  String own() {
-    return own;
+  String ownGroup() {
+    return ownGroup;
   }
 
-  /** Returns the other nodes of this node's group. */
+  /** Returns the addresses of the other nodes in this node's group. */
   ImmutableList<HostPort> members() {
     return members;
   }
 
-  /** Returns the nodes of all other groups. */
-  ImmutableList<HostPort> outside() {
-    return outside;
+  /** Returns the addresses of the nodes in all other groups. */
+  ImmutableList<HostPort> nonMembers() {
+    return nonMembers;
   }
 
-  /** Returns the number of other nodes in this node's data centre, of whatever group. */
-  int neighbours() {
-    return neighbours;
+  /** Returns the number of other nodes in this node's data centre, in any group. */
+  int dataCentrePeers() {
+    return dataCentrePeers;
   }
 
-  /** Returns how many reports a node sends in a round. */
-  int round() {
+  /** Returns the number of reports that a node sends per round. */
+  int reportsPerRound() {
     return members.size() + otherGroups;
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/load/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/load/package-info.java
@@ -1,9 +1,9 @@
 /**
- * What the requests of all nodes take of each endpoint.
+ * The exchange of load reports between nodes.
  *
- * <p>Each node tells its peers in turn what its own requests take; what peers told is kept with the
- * endpoint, so that placing a request needs no message. Input: the fleet, the peers' addresses;
- * read by {@code relay} and {@code forwarding} through {@code TrackedEndpoint}. Confined to the
- * node's event loop.
+ * <p>Each node reports the load of its own requests to its peers in turn. Reported loads are kept
+ * with the endpoints, so that placing a request needs no message. Inputs are the fleet and the
+ * peers' addresses; {@code relay} and {@code forwarding} read the results through {@code
+ * TrackedEndpoint}. Confined to the node's event loop.
  */
 package org.vaneworks.coordination.load;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementController.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementController.java
@@ -228,7 +228,7 @@
   }
 
   private void lookAt(ServiceProfile service, ModelProfile model) {
-    ImmutableList<TrackedEndpoint> engines = fleet.of(service.name());
+    ImmutableList<TrackedEndpoint> engines = fleet.listed(service.name());
     if (!settled(engines)) {
       return;
     }
@@ -264,7 +264,7 @@
   private void plan(String key, PlanInput input, ImmutableMap<String, TrackedEndpoint> known) {
     ImmutableMap<String, LayerRange> plan =
         PlacementPlanner.of(input.model())
-            .plan(input.holdings(), id -> known.get(id).requestsOfAll());
+            .plan(input.holdings(), id -> known.get(id).totalRequests());
     plan.forEach((id, layers) -> assign(known.get(id), layers));
     // Only an input that asked for nothing asks for nothing again: orders may be refused.
     if (plan.isEmpty()) {
@@ -333,12 +333,12 @@
     if (assignment.callOpen || assignment.accepted || engine.suspected()) {
       return;
     }
-    if (!fleet.statements().admits(engine, CallPurpose.PLACEMENT)) {
+    if (!fleet.signals().admits(engine, CallPurpose.PLACEMENT)) {
       return;
     }
     assignment.callOpen = true;
     counters.count(Metric.ENGINE_QUESTIONS, "placement");
-    fleet.statements().noteCall(engine, CallPurpose.PLACEMENT);
+    fleet.signals().recordCall(engine, CallPurpose.PLACEMENT);
     Async.onDone(
         control.report(engine.endpoint(), CALL_LIMIT),
         clock,
@@ -354,13 +354,13 @@
   }
 
   private void order(TrackedEndpoint engine, Assignment assignment, EngineReport report) {
-    boolean sameRun = fleet.isSameRun(engine, report.incarnation());
+    boolean sameRun = fleet.reconcileIncarnation(engine, report.incarnation());
     if (!sameRun || assignments.get(engine) != assignment || actingAs.isEmpty() || stopped) {
       // What was decided for a former run is not ordered of the next one.
       assignment.callOpen = false;
       return;
     }
-    if (!fleet.statements().admits(engine, CallPurpose.PLACEMENT)) {
+    if (!fleet.signals().admits(engine, CallPurpose.PLACEMENT)) {
       assignment.callOpen = false;
       return;
     }
@@ -373,7 +373,7 @@
     OrderGuard guard = new OrderGuard(actingAs.getAsLong(), report.ordersTaken());
     long orderedAt = now();
     assignment.sent = true;
-    fleet.statements().noteCall(engine, CallPurpose.PLACEMENT);
+    fleet.signals().recordCall(engine, CallPurpose.PLACEMENT);
     Async.onDone(
         control.hold(engine.endpoint(), assignment.layers, guard),
         clock,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/EndedEndpoints.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/EndedEndpoints.java
@@ -39,7 +39,7 @@
   private EndedEndpoints(Executor clock, Fleet fleet, Consumer<EndpointEnd> onEnd) {
     this.clock = checkNotNull(clock);
     this.onEnd = checkNotNull(onEnd);
-    fleet.onProcessGone(this::processGone);
+    fleet.onProcessDown(this::processGone);
     fleet.onRemoval(this::removed);
   }
 
@@ -58,7 +58,7 @@
     if (ranFor.compareTo(JUST_BEGUN) > 0) {
       return;
     }
-    if (endpoint.processGone()) {
+    if (endpoint.processDown()) {
       tell(endpoint, start);
     } else if (!endpoint.delisted()) {
       lostAt
@@ -87,7 +87,7 @@
 
   private void tell(TrackedEndpoint endpoint, RequestStart start) {
     if (start.takeEnd()) {
-      onEnd.accept(new EndpointEnd(start.content(), endpoint.endpoint().run()));
+      onEnd.accept(new EndpointEnd(start.content(), endpoint.endpoint().incarnationId()));
     }
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/relay/PathPlanner.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/relay/PathPlanner.java
@@ -297,9 +297,9 @@
     ModelProfile model = query.model();
     RequestSize size = query.size();
     double shortage = engine.shortage(query.nowNanos());
-    double streams = engine.requestsOfAll() * shortage;
+    double streams = engine.totalRequests() * shortage;
     int held = engine.endpoint().layers().get().size();
-    double taken = engine.tokenLayersOfAll() * shortage;
+    double taken = engine.totalTokenLayers() * shortage;
     double contextTokens = taken / held;
     double stepMillis =
         accelerator.stepFactor()
--- a/vaneworks/src/main/java/org/vaneworks/protocol/LoadCodec.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/LoadCodec.java
@@ -5,10 +5,10 @@
 import com.google.common.collect.ImmutableList;
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.time.Duration;
-import org.vaneworks.coordination.load.EndpointLimit;
 import org.vaneworks.coordination.load.EndpointLoad;
 import org.vaneworks.coordination.load.EnginePace;
 import org.vaneworks.coordination.load.LoadReport;
+import org.vaneworks.coordination.load.ReportedRateLimit;
 import org.vaneworks.protocol.generated.LoadProto;
 import org.vaneworks.state.StatedLimit;
 
@@ -33,19 +33,19 @@
             .setSender(report.sender())
             .setGroup(report.group())
             .setNodes(report.nodes())
-            .setConfiguration(report.configuration());
+            .setConfiguration(report.configurationVersion());
     for (EndpointLoad load : report.loads()) {
       message.addEndpointKey(load.endpointKey());
       message.addRequests(load.requests());
       message.addThousandTokenLayers((int) Math.round((double) load.tokenLayers() / THOUSAND));
     }
-    for (EnginePace engine : report.slow()) {
+    for (EnginePace engine : report.slowEngines()) {
       message.addSlowKey(engine.endpointKey());
       message.addSlowPaceHundredths((int) Math.round(engine.pace() * HUNDREDTHS));
     }
-    for (EndpointLimit limit : report.limits()) {
+    for (ReportedRateLimit limit : report.limits()) {
       message.addLimitKey(limit.endpointKey());
-      message.addLimitThousandths(thousandths(limit.stated()));
+      message.addLimitThousandths(thousandths(limit.limit()));
       message.addLimitAgeMillis((int) Math.min(Integer.MAX_VALUE, limit.age().toMillis()));
     }
     return message.build().toByteArray();
@@ -78,7 +78,7 @@
       double pace = message.getSlowPaceHundredths(i) / HUNDREDTHS;
       slow.add(new EnginePace(message.getSlowKey(i), pace));
     }
-    ImmutableList<EndpointLimit> limits = limits(message);
+    ImmutableList<ReportedRateLimit> limits = limits(message);
     // A report that names no number is of one node.
     int nodes = Math.max(1, message.getNodes());
     return new LoadReport(
@@ -98,12 +98,12 @@
     return (int) Math.min(MOST_THOUSANDTHS, Math.round(stated.perSecond() * THOUSAND));
   }
 
-  private static ImmutableList<EndpointLimit> limits(LoadProto.LoadReport message) {
+  private static ImmutableList<ReportedRateLimit> limits(LoadProto.LoadReport message) {
     int count = message.getLimitKeyCount();
     boolean parallel =
         message.getLimitThousandthsCount() == count && message.getLimitAgeMillisCount() == count;
     checkArgument(parallel, "the lists of limits differ in length");
-    ImmutableList.Builder<EndpointLimit> limits = ImmutableList.builder();
+    ImmutableList.Builder<ReportedRateLimit> limits = ImmutableList.builder();
     for (int i = 0; i < count; i++) {
       int thousandths = message.getLimitThousandths(i);
       StatedLimit stated =
@@ -111,7 +111,7 @@
               ? StatedLimit.none()
               : StatedLimit.of((double) thousandths / THOUSAND);
       Duration age = Duration.ofMillis(message.getLimitAgeMillis(i));
-      limits.add(new EndpointLimit(message.getLimitKey(i), stated, age));
+      limits.add(new ReportedRateLimit(message.getLimitKey(i), stated, age));
     }
     return limits.build();
   }
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointConnections.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointConnections.java
@@ -27,7 +27,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.vaneworks.coordination.fleet.NobodyListensException;
+import org.vaneworks.coordination.fleet.ConnectionRefusedException;
 import org.vaneworks.coordination.forwarding.Attempt;
 import org.vaneworks.coordination.forwarding.EndpointCalls;
 import org.vaneworks.state.HostPort;
@@ -226,7 +226,7 @@
       over();
       if (!discarded && !cancelled) {
         boolean refused = SentState.connectionRefused(cause);
-        Throwable told = refused ? new NobodyListensException(cause) : cause;
+        Throwable told = refused ? new ConnectionRefusedException(cause) : cause;
         listener.failed(body == null && SentState.neverSent(cause), told);
       }
     }
