--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/DelayedHealthCheckerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/DelayedHealthCheckerTest.java
@@ -26,35 +26,38 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Checks that a node that stands still does not take its own delay for an engine's silence. */
+/**
+ * Tests that a node whose event loop is blocked does not mistake its own delay for an engine
+ * failure.
+ */
 final class DelayedHealthCheckerTest {
-  private static final Duration ANSWERS_AFTER = Duration.ofMillis(5);
+  private static final Duration ANSWER_DELAY = Duration.ofMillis(5);
 
-  /** Longer than a question's limit, and than any lateness that is not noticed. */
-  private static final Duration STAND = Duration.ofMillis(150);
+  /** Longer than the probe timeout plus the tolerated timer delay. */
+  private static final Duration LOOP_PAUSE = Duration.ofMillis(150);
 
-  /** Later than the limit by no more than timers are on a loop with work to do. */
-  private static final Duration BARELY_LATE = Duration.ofMillis(110);
+  /** Exceeds the probe timeout by no more than usual timer delays on a busy event loop. */
+  private static final Duration TOLERATED_PAUSE = Duration.ofMillis(110);
 
   private final PausedExecutor clock = PausedExecutor.create();
   private final SimpleMeterRegistry meters = new SimpleMeterRegistry();
   private final Fleet fleet = Fleet.create(clock, Counters.in(meters), Duration.ofMillis(2500));
   private final HealthChecker health = HealthChecker.create(clock, fleet, new Engine());
   private TrackedEndpoint engine;
-  private int asked;
+  private int probes;
   private int suspicions;
   private boolean alive = true;
 
-  /** Answers over a network, within a limit that the node's own timer keeps. */
+  /** Answers over a simulated network; the timeout is a timer on the node's own event loop. */
   private final class Engine implements EngineControl {
     @Override
     public CompletableFuture<EngineReport> report(FleetEndpoint endpoint, Duration limit) {
-      asked++;
+      probes++;
       CompletableFuture<EngineReport> report = new CompletableFuture<>();
       TimeoutException late = new TimeoutException("timeout after " + limit);
       clock.schedule(() -> report.completeExceptionally(late), limit);
       if (alive) {
-        clock.deliver(() -> report.complete(healthy(endpoint)), ANSWERS_AFTER);
+        clock.deliver(() -> report.complete(healthy(endpoint)), ANSWER_DELAY);
       }
       return report;
     }
@@ -87,57 +90,58 @@
     fleet.onSuspicion(suspected -> suspicions++);
   }
 
-  private double uncounted() {
+  private double disregardedTimeouts() {
     var counter = meters.find("vaneworks.uncounted.silences").tag("reason", "question").counter();
     return counter == null ? 0 : counter.count();
   }
 
-  // Guards against a live engine that a node suspected whose loop was held up: its answers to two
-  // questions lay in the socket.
+  // Guards against suspecting a live engine because the node's event loop was blocked: the answers
+  // to two probes were waiting unread in the socket.
   @Test
-  void engineWhoseAnswersLieUnreadIsNotSuspected() {
+  void engineWithUnreadAnswersIsNotSuspected() {
     health.check(engine);
-    clock.standStill(STAND);
-    clock.standStill(STAND);
+    clock.standStill(LOOP_PAUSE);
+    clock.standStill(LOOP_PAUSE);
     clock.advance(Duration.ofMillis(100));
     assertEquals(0, suspicions);
-    assertEquals(3, asked);
-    assertEquals(2, uncounted());
+    assertEquals(3, probes);
+    assertEquals(2, disregardedTimeouts());
   }
 
-  // Guards against a dead engine that a node never finds because it is late itself each time.
+  // Guards against a dead engine that is never detected because the node itself is late at each
+  // probe.
   @Test
-  void deadEngineIsSuspectedByANodeThatIsAlwaysLate() {
+  void deadEngineIsSuspectedByNodeThatIsAlwaysDelayed() {
     alive = false;
     health.check(engine);
     for (int i = 0; i < 4; i++) {
       assertFalse(engine.suspected());
-      clock.standStill(STAND);
+      clock.standStill(LOOP_PAUSE);
     }
     assertTrue(engine.suspected());
-    assertEquals(4, asked);
+    assertEquals(4, probes);
   }
 
-  // Guards against a dead engine that is found late because its node was late once before.
+  // Guards against late detection of a dead engine because the node was late once before.
   @Test
-  void deadEngineIsSuspectedAfterTwoQuestionsOfANodeThatIsPunctualAgain() {
+  void deadEngineIsSuspectedAfterTwoPunctualProbes() {
     alive = false;
     health.check(engine);
-    clock.standStill(STAND);
+    clock.standStill(LOOP_PAUSE);
     clock.advance(Duration.ofMillis(200));
     assertTrue(engine.suspected());
-    assertEquals(3, asked);
+    assertEquals(3, probes);
   }
 
-  // Guards against a dead engine that is found late by a node whose timers are merely not exact.
+  // Guards against late detection of a dead engine by a node whose timers are merely imprecise.
   @Test
-  void deadEngineIsSuspectedAfterTwoQuestionsOfANodeThatIsBarelyLate() {
+  void deadEngineIsSuspectedAfterTwoProbesWithToleratedDelay() {
     alive = false;
     health.check(engine);
-    clock.standStill(BARELY_LATE);
-    clock.standStill(BARELY_LATE);
+    clock.standStill(TOLERATED_PAUSE);
+    clock.standStill(TOLERATED_PAUSE);
     assertTrue(engine.suspected());
-    assertEquals(2, asked);
-    assertEquals(0, uncounted());
+    assertEquals(2, probes);
+    assertEquals(0, disregardedTimeouts());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/FleetTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/FleetTest.java
@@ -23,17 +23,17 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Checks when an endpoint gets new work. */
+/** Tests when the endpoint table offers an endpoint for new work. */
 final class FleetTest {
   private final PausedExecutor clock = PausedExecutor.create();
   private final Fleet fleet =
       Fleet.create(clock, Counters.in(new SimpleMeterRegistry()), Duration.ofMillis(2500));
 
-  /** The store's counter up to which the list was known before the store was silent. */
-  private static final long BEFORE = 50;
+  /** The store position up to which the list was known before the outage. */
+  private static final long POSITION_BEFORE_OUTAGE = 50;
 
   private static FleetEndpoint endpoint(String id, boolean leaving) {
-    return endpoint(id, leaving, BEFORE - 10);
+    return endpoint(id, leaving, POSITION_BEFORE_OUTAGE - 10);
   }
 
   private static FleetEndpoint endpoint(String id, boolean leaving, long listedAt) {
@@ -49,9 +49,10 @@
         new StorePosition(0, listedAt));
   }
 
-  private void storeWasSilent() {
+  private void recordOutage() {
     fleet.recordStoreFailure(
-        clock.currentTime(TimeUnit.NANOSECONDS), Optional.of(new StorePosition(0, BEFORE)));
+        clock.currentTime(TimeUnit.NANOSECONDS),
+        Optional.of(new StorePosition(0, POSITION_BEFORE_OUTAGE)));
   }
 
   private void unlist(String... ids) {
@@ -64,60 +65,60 @@
   }
 
   @Test
-  void listedEndpointIsUsed() {
+  void listedEndpointIsUsable() {
     fleet.put(endpoint("a", false));
     assertEquals(1, usable());
   }
 
   @Test
-  void leavingEndpointGetsNothingNew() {
+  void leavingEndpointIsNotUsable() {
     fleet.put(endpoint("a", false));
     fleet.put(endpoint("a", true));
     assertEquals(0, usable());
   }
 
-  private static EndpointStatement saysThatItLeaves() {
+  private static EndpointStatement leavingSignal() {
     return EndpointStatement.NONE.thatLeaves();
   }
 
-  /** Guards against an announced end that only the list is believed to tell. */
+  /** Guards against a shutdown announcement that is accepted only from the endpoint list. */
   @Test
-  void endpointThatSaysInAnAnswerThatItLeavesGetsNothingNew() {
+  void endpointThatAnnouncesShutdownInAnswerIsNotUsable() {
     fleet.put(endpoint("a", false));
-    fleet.signals().recordAnswer(fleet.all().get(0), saysThatItLeaves());
+    fleet.signals().recordAnswer(fleet.all().get(0), leavingSignal());
     assertEquals(0, usable());
   }
 
   @Test
-  void engineThatSaysSoOfACallGetsNothingNew() {
+  void engineThatAnnouncesShutdownInControlCallIsNotUsable() {
     fleet.put(endpoint("a", false));
-    fleet.signals().recordCallAnswer(endpoint("a", false), saysThatItLeaves());
+    fleet.signals().recordCallAnswer(endpoint("a", false), leavingSignal());
     assertEquals(0, usable());
   }
 
   @Test
-  void leavingIsToldOnceHoweverOftenItIsSaid() {
-    List<TrackedEndpoint> told = new ArrayList<>();
-    fleet.onLeaving(told::add);
+  void leavingListenersAreCalledOnceForRepeatedAnnouncements() {
+    List<TrackedEndpoint> notified = new ArrayList<>();
+    fleet.onLeaving(notified::add);
     fleet.put(endpoint("a", false));
     TrackedEndpoint known = fleet.all().get(0);
-    fleet.signals().recordAnswer(known, saysThatItLeaves());
-    fleet.signals().recordAnswer(known, saysThatItLeaves());
+    fleet.signals().recordAnswer(known, leavingSignal());
+    fleet.signals().recordAnswer(known, leavingSignal());
     fleet.put(endpoint("a", true));
-    assertEquals(List.of(known), told);
+    assertEquals(List.of(known), notified);
   }
 
   @Test
-  void endpointThatLeavesByAnswerIsNotUsedForItsEntry() {
+  void entryWithoutAnnouncementDoesNotMakeLeavingEndpointUsable() {
     fleet.put(endpoint("a", false));
-    fleet.signals().recordAnswer(fleet.all().get(0), saysThatItLeaves());
+    fleet.signals().recordAnswer(fleet.all().get(0), leavingSignal());
     fleet.put(endpoint("a", false));
     assertEquals(0, usable());
   }
 
-  /** Guards against an announced end that is forgotten with the entry. */
+  /** Guards against a shutdown announcement that is discarded together with the list entry. */
   @Test
-  void endpointThatLeavesIsNotUsedIfItsEntryLapsesAndComesBack() {
+  void leavingEndpointIsNotUsableAfterItsEntryLapsesAndReappears() {
     fleet.put(endpoint("a", true));
     unlist("a");
     fleet.put(endpoint("a", false));
@@ -125,16 +126,16 @@
   }
 
   @Test
-  void answerThatComesAfterTheEntryWentCountsOnceItIsBack() {
+  void announcementReceivedWhileUnlistedAppliesAfterRelisting() {
     fleet.put(endpoint("a", false));
     TrackedEndpoint former = fleet.all().get(0);
     unlist("a");
-    fleet.signals().recordAnswer(former, saysThatItLeaves());
+    fleet.signals().recordAnswer(former, leavingSignal());
     fleet.put(endpoint("a", false));
     assertEquals(0, usable());
   }
 
-  private static FleetEndpoint run(long startedAt) {
+  private static FleetEndpoint incarnation(long startedAt) {
     return new FleetEndpoint(
         "a",
         "s",
@@ -144,50 +145,50 @@
         false,
         Optional.empty(),
         "",
-        new StorePosition(0, BEFORE),
+        new StorePosition(0, POSITION_BEFORE_OUTAGE),
         Incarnation.startedAt(startedAt));
   }
 
-  /** Guards against what a former run said being held against the next. */
+  /** Guards against signals of a former incarnation that are applied to the next. */
   @Test
-  void lateAnswerOfAFormerRunChangesNothingForTheLaterOne() {
-    fleet.put(run(1000));
+  void lateAnswerOfFormerIncarnationDoesNotAffectTheNext() {
+    fleet.put(incarnation(1000));
     TrackedEndpoint former = fleet.all().get(0);
-    fleet.put(run(2000));
-    fleet.signals().recordAnswer(former, saysThatItLeaves());
-    fleet.signals().recordCallAnswer(run(1000), saysThatItLeaves());
+    fleet.put(incarnation(2000));
+    fleet.signals().recordAnswer(former, leavingSignal());
+    fleet.signals().recordCallAnswer(incarnation(1000), leavingSignal());
     assertEquals(1, usable());
   }
 
   @Test
-  void lateEntryOfAFormerRunTakesNothingThatTheLaterOneSaid() {
-    fleet.put(run(2000));
-    fleet.signals().recordCallAnswer(run(2000), saysThatItLeaves());
-    fleet.put(run(1000));
+  void lateEntryOfFormerIncarnationKeepsAnnouncementOfTheNext() {
+    fleet.put(incarnation(2000));
+    fleet.signals().recordCallAnswer(incarnation(2000), leavingSignal());
+    fleet.put(incarnation(1000));
     unlist("a");
-    fleet.put(run(2000));
+    fleet.put(incarnation(2000));
     assertEquals(0, usable());
   }
 
   @Test
-  void answerWithoutTheWordEndsNoAnnouncement() {
+  void answerWithoutAnnouncementDoesNotRevokeIt() {
     fleet.put(endpoint("a", false));
-    fleet.signals().recordAnswer(fleet.all().get(0), saysThatItLeaves());
+    fleet.signals().recordAnswer(fleet.all().get(0), leavingSignal());
     fleet.signals().recordAnswer(fleet.all().get(0), EndpointStatement.NONE);
     assertEquals(0, usable());
   }
 
   @Test
-  void unlistedEndpointIsGoneAtOnce() {
+  void unlistedEndpointIsRemovedImmediately() {
     fleet.put(endpoint("a", false));
     fleet.remove("a");
     assertEquals(0, fleet.size());
   }
 
   @Test
-  void endpointUnlistedInAnOutageIsKeptForAWhile() {
+  void endpointUnlistedInOutageIsRetainedForGracePeriod() {
     fleet.put(endpoint("a", false));
-    storeWasSilent();
+    recordOutage();
     fleet.replaceAll(List.of());
     fleet.resolveMissing();
     assertEquals(1, usable());
@@ -196,43 +197,43 @@
   }
 
   @Test
-  void endpointThatIsListedAgainAfterAnOutageStays() {
+  void endpointRelistedAfterOutageStays() {
     fleet.put(endpoint("a", false));
-    storeWasSilent();
+    recordOutage();
     unlist("a");
     clock.advance(Duration.ofMillis(1500));
-    fleet.put(endpoint("a", false, BEFORE + 10));
+    fleet.put(endpoint("a", false, POSITION_BEFORE_OUTAGE + 10));
     clock.advance(Duration.ofMillis(5000));
     assertEquals(1, usable());
   }
 
   @Test
-  void unlistedEndpointIsGoneAtOnceIfAnotherEntryOutlivedTheSilence() {
+  void unlistedEndpointIsRemovedImmediatelyIfAnotherEntrySurvivedOutage() {
     fleet.put(endpoint("a", false));
     fleet.put(endpoint("b", false));
-    storeWasSilent();
+    recordOutage();
     unlist("a");
     assertEquals(1, fleet.size());
   }
 
   @Test
-  void entriesThatLapsedAndCameBackDoNotProveThatTheOthersLeft() {
+  void relistedEntriesDoNotProveThatMissingEndpointsLeft() {
     fleet.put(endpoint("a", false));
     fleet.put(endpoint("b", false));
-    storeWasSilent();
+    recordOutage();
     fleet.remove("a");
     fleet.remove("b");
-    fleet.put(endpoint("b", false, BEFORE + 10));
+    fleet.put(endpoint("b", false, POSITION_BEFORE_OUTAGE + 10));
     fleet.resolveMissing();
     assertEquals(2, usable());
   }
 
   @Test
-  void graceCountsFromTheBeginningOfTheLastFailedCall() {
+  void gracePeriodStartsAtBeginningOfLastFailedCall() {
     fleet.put(endpoint("a", false));
     long begunAt = clock.currentTime(TimeUnit.NANOSECONDS);
     clock.advance(Duration.ofMillis(900));
-    fleet.recordStoreFailure(begunAt, Optional.of(new StorePosition(0, BEFORE)));
+    fleet.recordStoreFailure(begunAt, Optional.of(new StorePosition(0, POSITION_BEFORE_OUTAGE)));
     unlist("a");
     clock.advance(Duration.ofMillis(1500));
     assertEquals(1, usable());
@@ -241,12 +242,12 @@
   }
 
   @Test
-  void endpointIsKeptWhileTheStoreIsSilentAgain() {
+  void secondOutageExtendsGracePeriod() {
     fleet.put(endpoint("a", false));
-    storeWasSilent();
+    recordOutage();
     unlist("a");
     clock.advance(Duration.ofMillis(2000));
-    storeWasSilent();
+    recordOutage();
     clock.advance(Duration.ofMillis(2000));
     assertEquals(1, usable());
     clock.advance(Duration.ofMillis(600));
@@ -254,7 +255,7 @@
   }
 
   @Test
-  void suspectedEndpointIsUsedAgainOnceCleared() {
+  void suspectedEndpointIsUsableAgainOnceCleared() {
     fleet.put(endpoint("a", false));
     fleet.suspect(fleet.listed("s").get(0), "test");
     assertEquals(0, usable());
@@ -263,16 +264,17 @@
   }
 
   @Test
-  void shortageFades() {
+  void shortageDecays() {
     fleet.put(endpoint("a", false));
     var tracked = fleet.listed("s").get(0);
     tracked.recordShortage(0);
-    double first = tracked.shortage(0);
-    assertTrue(first > 1.2);
+    double initial = tracked.shortage(0);
+    assertTrue(initial > 1.2);
     assertTrue(tracked.shortage(Duration.ofSeconds(4).toNanos()) < 1.05);
   }
 
-  private static FleetEndpoint run(String id, int port, long listedAt, Incarnation incarnation) {
+  private static FleetEndpoint incarnation(
+      String id, int port, long listedAt, Incarnation incarnation) {
     return new FleetEndpoint(
         id,
         "s",
@@ -292,13 +294,13 @@
   }
 
   @Test
-  void laterRunUnderTheSameIdIsKnownForNothingOfTheFormer() {
-    fleet.put(run("a", 80, 1, Incarnation.startedAt(1000)));
+  void laterIncarnationInheritsNoStateFromTheFormer() {
+    fleet.put(incarnation("a", 80, 1, Incarnation.startedAt(1000)));
     TrackedEndpoint former = only();
     former.reserve(500);
     former.recordShortage(0);
     fleet.suspect(former, "test");
-    fleet.put(run("a", 80, 1, Incarnation.startedAt(2000)));
+    fleet.put(incarnation("a", 80, 1, Incarnation.startedAt(2000)));
     TrackedEndpoint later = only();
     assertTrue(former.hasEnded());
     assertFalse(later.suspected());
@@ -307,80 +309,80 @@
   }
 
   @Test
-  void endOfARunIsToldOnceTheLaterOneIsKnown() {
-    fleet.put(run("a", 80, 1, Incarnation.startedAt(1000)));
-    List<Optional<TrackedEndpoint>> atThatTime = new ArrayList<>();
-    fleet.onIncarnationEnd(ended -> atThatTime.add(fleet.find("s", ended.address())));
-    fleet.put(run("a", 80, 1, Incarnation.startedAt(2000)));
-    assertEquals(List.of(Optional.of(only())), atThatTime);
+  void laterIncarnationIsKnownWhenEndOfFormerIsNotified() {
+    fleet.put(incarnation("a", 80, 1, Incarnation.startedAt(1000)));
+    List<Optional<TrackedEndpoint>> foundDuringNotification = new ArrayList<>();
+    fleet.onIncarnationEnd(ended -> foundDuringNotification.add(fleet.find("s", ended.address())));
+    fleet.put(incarnation("a", 80, 1, Incarnation.startedAt(2000)));
+    assertEquals(List.of(Optional.of(only())), foundDuringNotification);
   }
 
   @Test
-  void newsOfAFormerRunChangesNothing() {
-    fleet.put(run("a", 80, 1, Incarnation.startedAt(2000)));
+  void entryOfFormerIncarnationIsIgnored() {
+    fleet.put(incarnation("a", 80, 1, Incarnation.startedAt(2000)));
     TrackedEndpoint known = only();
-    fleet.put(run("a", 81, 1, Incarnation.startedAt(1000)));
+    fleet.put(incarnation("a", 81, 1, Incarnation.startedAt(1000)));
     assertSame(known, only());
     assertEquals(80, known.address().port());
   }
 
   @Test
-  void reportOfALaterRunEndsTheKnownOneBeforeTheListDoes() {
-    fleet.put(run("a", 80, 1, Incarnation.startedAt(1000)));
+  void reportOfLaterIncarnationEndsTheKnownOneBeforeListChange() {
+    fleet.put(incarnation("a", 80, 1, Incarnation.startedAt(1000)));
     TrackedEndpoint former = only();
     assertFalse(fleet.reconcileIncarnation(former, Incarnation.startedAt(2000)));
     assertTrue(former.hasEnded());
     assertEquals(Optional.empty(), only().endpoint().layers());
-    fleet.put(run("a", 80, 1, Incarnation.startedAt(1000)));
+    fleet.put(incarnation("a", 80, 1, Incarnation.startedAt(1000)));
     assertEquals(Optional.empty(), only().endpoint().layers());
   }
 
   @Test
-  void reportOfAFormerRunIsOfNoUse() {
-    fleet.put(run("a", 80, 1, Incarnation.startedAt(2000)));
+  void reportOfFormerIncarnationIsRejected() {
+    fleet.put(incarnation("a", 80, 1, Incarnation.startedAt(2000)));
     assertFalse(fleet.reconcileIncarnation(only(), Incarnation.startedAt(1000)));
     assertTrue(fleet.reconcileIncarnation(only(), Incarnation.startedAt(2000)));
     assertTrue(fleet.reconcileIncarnation(only(), Incarnation.UNKNOWN));
   }
 
   @Test
-  void entryThatCannotBeOfTheKnownRunNamesNoEndpoint() {
-    fleet.put(run("a", 80, 1, Incarnation.startedAt(1000)));
-    fleet.put(run("a", 81, 1, Incarnation.startedAt(1000)));
+  void entryThatContradictsKnownIncarnationRemovesEndpoint() {
+    fleet.put(incarnation("a", 80, 1, Incarnation.startedAt(1000)));
+    fleet.put(incarnation("a", 81, 1, Incarnation.startedAt(1000)));
     assertEquals(0, fleet.size());
   }
 
   @Test
-  void entryWithoutAStartNamesNoEndpointOfAnIdThatToldOne() {
-    fleet.put(run("a", 80, 1, Incarnation.startedAt(1000)));
-    fleet.put(run("a", 80, 1, Incarnation.UNKNOWN));
+  void entryWithoutStartTimeIsRejectedIfTheIdHadOne() {
+    fleet.put(incarnation("a", 80, 1, Incarnation.startedAt(1000)));
+    fleet.put(incarnation("a", 80, 1, Incarnation.UNKNOWN));
     assertEquals(0, fleet.size());
-    fleet.put(run("a", 80, 1, Incarnation.UNKNOWN));
+    fleet.put(incarnation("a", 80, 1, Incarnation.UNKNOWN));
     assertEquals(0, fleet.size());
-    fleet.put(run("a", 80, 1, Incarnation.startedAt(1000)));
+    fleet.put(incarnation("a", 80, 1, Incarnation.startedAt(1000)));
     assertEquals(1, usable());
   }
 
   @Test
-  void lateEntryOfAFormerRunIsNoEndpointAlsoAfterTheLaterOneLeft() {
-    fleet.put(run("a", 80, 1, Incarnation.startedAt(2000)));
+  void lateEntryOfFormerIncarnationIsIgnoredAfterTheNextLeft() {
+    fleet.put(incarnation("a", 80, 1, Incarnation.startedAt(2000)));
     fleet.remove("a");
-    fleet.put(run("a", 80, 3, Incarnation.startedAt(1000)));
+    fleet.put(incarnation("a", 80, 3, Incarnation.startedAt(1000)));
     assertEquals(0, fleet.size());
   }
 
   @Test
-  void withdrawnEndpointIsGoneAlsoWhileTheStoreIsSilent() {
-    fleet.put(run("a", 80, 1, Incarnation.UNKNOWN));
-    storeWasSilent();
+  void withdrawnEndpointIsRemovedEvenDuringOutage() {
+    fleet.put(incarnation("a", 80, 1, Incarnation.UNKNOWN));
+    recordOutage();
     fleet.withdraw("a", "test");
     assertEquals(0, fleet.size());
-    fleet.put(run("a", 80, 1, Incarnation.UNKNOWN));
+    fleet.put(incarnation("a", 80, 1, Incarnation.UNKNOWN));
     assertEquals(1, usable());
   }
 
   @Test
-  void engineThatNamesItsAcceleratorOnlyWithItsModelStaysTheSameRun() {
+  void engineThatReportsAcceleratorOnlyWithModelStaysSameIncarnation() {
     HostPort address = new HostPort("10.0.0.3", 80);
     Optional<LayerRange> layers = Optional.of(LayerRange.of(0, 10));
     fleet.put(
@@ -394,12 +396,12 @@
   }
 
   @Test
-  void endpointsThatAStoreForgotAreKeptForAWhile() {
+  void endpointsMissingFromRestoredStoreAreRetainedForGracePeriod() {
     fleet.put(endpoint("a", false));
     fleet.put(endpoint("b", false));
     fleet.recordNewEra();
-    FleetEndpoint again = endpointOfEra(1, "b");
-    fleet.replaceAll(List.of(again));
+    FleetEndpoint listedByCopy = endpointOfEra(1, "b");
+    fleet.replaceAll(List.of(listedByCopy));
     fleet.resolveMissing();
     assertEquals(2, usable());
     clock.advance(Duration.ofMillis(2600));
@@ -407,7 +409,7 @@
   }
 
   @Test
-  void endpointThatWasSeenToGoIsNotThereAgainWithTheCopy() {
+  void removedEndpointDoesNotReappearWithRestoredCopy() {
     fleet.put(endpoint("a", false));
     unlist("a");
     assertEquals(0, usable());
@@ -420,7 +422,7 @@
   }
 
   @Test
-  void endpointThatTheCopyNamesAndNobodyUnlistsIsUsedInTheEnd() {
+  void endpointListedByCopyIsUsableOnceCopyHasSettled() {
     fleet.put(endpoint("a", false));
     unlist("a");
     fleet.recordNewEra();
@@ -436,7 +438,7 @@
   }
 
   @Test
-  void endpointThatTheCopyNamesAndThatIsUnlistedAgainStaysGone() {
+  void endpointListedByCopyAndUnlistedAgainStaysRemoved() {
     fleet.put(endpoint("a", false));
     unlist("a");
     fleet.recordNewEra();
@@ -449,7 +451,7 @@
   }
 
   @Test
-  void announcementOfAnEndHoldsThoughTheCopyDoesNotKnowIt() {
+  void shutdownAnnouncementSurvivesRestoreOfCopyWithoutIt() {
     fleet.put(endpoint("a", true));
     fleet.recordNewEra();
     fleet.replaceAll(List.of(endpointOfEra(1, "a")));
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/HealthCheckerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/HealthCheckerTest.java
@@ -37,22 +37,22 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Checks what makes a node believe that an engine is dead. */
+/** Tests when a node suspects that an engine is down, and when it clears the suspicion. */
 final class HealthCheckerTest {
-  /** What an engine does when it is asked: it answers after a time, or refuses the connection. */
-  private record Reply(Duration after, Optional<Exception> failure) {
+  /** The reply of an engine to a probe: an answer after a delay, or a failure. */
+  private record Reply(Duration delay, Optional<Exception> failure) {
     static final Reply ANSWERS = answersAfter(0);
-    static final Reply REFUSES =
-        fails(new ConnectionRefusedException(new ConnectException("refused")));
-    static final Reply BREAKS = fails(new ClosedChannelException());
-    static final Reply TURNS_AWAY = fails(new BackoffRequestedException());
-    static final Reply IS_SILENT = answersAfter(60_000);
+    static final Reply REFUSED =
+        failsWith(new ConnectionRefusedException(new ConnectException("refused")));
+    static final Reply BROKEN_CONNECTION = failsWith(new ClosedChannelException());
+    static final Reply REQUESTS_BACKOFF = failsWith(new BackoffRequestedException());
+    static final Reply TIMEOUT = answersAfter(60_000);
 
     static Reply answersAfter(int millis) {
       return new Reply(Duration.ofMillis(millis), Optional.empty());
     }
 
-    private static Reply fails(Exception failure) {
+    private static Reply failsWith(Exception failure) {
       return new Reply(Duration.ZERO, Optional.of(failure));
     }
   }
@@ -63,30 +63,31 @@
   private final Queue<Reply> replies = new ArrayDeque<>();
   private final HealthChecker health = HealthChecker.create(clock, fleet, new Engine());
   private TrackedEndpoint engine;
-  private int asked;
+  private int probes;
   private int suspicions;
   private double pace = 1;
-  private Incarnation tells = Incarnation.UNKNOWN;
+  private Incarnation reportedIncarnation = Incarnation.UNKNOWN;
 
-  /** Replies as the test says, and answers once nothing more was said. */
+  /** Plays the queued replies, then answers immediately. */
   private final class Engine implements EngineControl {
     @Override
     public CompletableFuture<EngineReport> report(FleetEndpoint endpoint, Duration limit) {
-      asked++;
+      probes++;
       Reply reply = replies.isEmpty() ? Reply.ANSWERS : replies.remove();
       if (reply.failure().isPresent()) {
         return CompletableFuture.failedFuture(reply.failure().get());
       }
       CompletableFuture<EngineReport> report = new CompletableFuture<>();
-      if (reply.after().compareTo(limit) > 0) {
+      if (reply.delay().compareTo(limit) > 0) {
         TimeoutException late = new TimeoutException("timeout after " + limit);
         clock.schedule(() -> report.completeExceptionally(late), limit);
       } else {
         clock.schedule(
             () ->
                 report.complete(
-                    new EngineReport(1, false, endpoint.layers(), pace, ImmutableMap.of(), tells)),
-            reply.after());
+                    new EngineReport(
+                        1, false, endpoint.layers(), pace, ImmutableMap.of(), reportedIncarnation)),
+            reply.delay());
       }
       return report;
     }
@@ -139,90 +140,90 @@
   }
 
   @Test
-  void engineThatRefusesIsSuspectedAtOnce() {
-    check(Reply.REFUSES);
+  void engineThatRefusesConnectionIsSuspectedImmediately() {
+    check(Reply.REFUSED);
     clock.runDue();
     assertTrue(engine.suspected());
   }
 
-  // Guards against streams taken off a live engine because a connection for questions had broken.
+  // Guards against streams being moved off a live engine because the probe connection broke.
   @Test
-  void questionWhoseConnectionBrokeIsAskedAgain() {
-    check(Reply.BREAKS, Reply.ANSWERS);
+  void probeIsRepeatedAfterBrokenConnection() {
+    check(Reply.BROKEN_CONNECTION, Reply.ANSWERS);
     clock.runDue();
     assertEquals(0, suspicions);
-    assertEquals(2, asked);
+    assertEquals(2, probes);
   }
 
   @Test
-  void engineWhoseConnectionsBreakTwiceInARowIsSuspected() {
-    check(Reply.BREAKS, Reply.BREAKS);
+  void engineIsSuspectedAfterTwoConsecutiveBrokenConnections() {
+    check(Reply.BROKEN_CONNECTION, Reply.BROKEN_CONNECTION);
     clock.runDue();
     assertTrue(engine.suspected());
   }
 
   @Test
-  void oneLateAnswerIsNoSuspicion() {
-    check(Reply.IS_SILENT, Reply.ANSWERS);
+  void engineIsNotSuspectedAfterOneTimeout() {
+    check(Reply.TIMEOUT, Reply.ANSWERS);
     clock.advance(Duration.ofSeconds(1));
     assertEquals(0, suspicions);
-    assertEquals(2, asked);
+    assertEquals(2, probes);
   }
 
   @Test
-  void engineThatIsSilentTwiceIsSuspectedWithinAFifthOfASecond() {
-    check(Reply.IS_SILENT, Reply.IS_SILENT);
+  void engineIsSuspectedWithin200MillisAfterTwoTimeouts() {
+    check(Reply.TIMEOUT, Reply.TIMEOUT);
     clock.advance(Duration.ofMillis(200));
     assertTrue(engine.suspected());
   }
 
   @Test
-  void engineThatRefusesAfterASilenceIsSuspected() {
-    check(Reply.IS_SILENT, Reply.REFUSES);
+  void engineThatRefusesConnectionAfterTimeoutIsSuspected() {
+    check(Reply.TIMEOUT, Reply.REFUSED);
     clock.advance(Duration.ofMillis(150));
     assertTrue(engine.suspected());
   }
 
   @Test
-  void engineThatLeftTheListIsNotAskedAgain() {
-    check(Reply.IS_SILENT);
+  void unlistedEngineIsNotProbedAgain() {
+    check(Reply.TIMEOUT);
     fleet.remove("a");
     clock.advance(Duration.ofSeconds(1));
-    assertEquals(1, asked);
+    assertEquals(1, probes);
     assertEquals(0, suspicions);
   }
 
   @Test
-  void suspectedEngineIsAskedUntilItAnswers() {
-    check(Reply.REFUSES, Reply.IS_SILENT);
+  void suspectedEngineIsProbedUntilItAnswers() {
+    check(Reply.REFUSED, Reply.TIMEOUT);
     clock.advance(Duration.ofSeconds(3));
     assertFalse(engine.suspected());
-    assertEquals(3, asked);
+    assertEquals(3, probes);
   }
 
   @Test
-  void engineIsGivenThreeTimesTheSlowestAnswerOfTheLastSecond() {
+  void timeoutIsThreeTimesTheSlowestAnswerOfTheLastSecond() {
     replies.add(Reply.answersAfter(80));
     health.check(fleet.listed("s").get(1));
     clock.advance(Duration.ofMillis(100));
     check(Reply.answersAfter(230));
     clock.advance(Duration.ofSeconds(1));
     assertEquals(0, suspicions);
-    assertEquals(2, asked);
+    assertEquals(2, probes);
   }
 
   @Test
-  void slowAnswerOfLongAgoGivesNoMoreTime() {
+  void slowAnswerOlderThanOneSecondDoesNotExtendTimeout() {
     replies.add(Reply.answersAfter(80));
     health.check(fleet.listed("s").get(1));
     clock.advance(Duration.ofMillis(1100));
-    check(Reply.IS_SILENT, Reply.IS_SILENT);
+    check(Reply.TIMEOUT, Reply.TIMEOUT);
     clock.advance(Duration.ofMillis(200));
     assertEquals(1, suspicions);
   }
 
   @Test
-  void engineIsAskedOnceAtATimeHoweverLongItsAnswerTakes() {
+  void engineHasAtMostOneProbeInProgress() {
     replies.add(Reply.answersAfter(80));
     health.check(fleet.listed("s").get(1));
     clock.advance(Duration.ofMillis(100));
@@ -230,12 +231,12 @@
     clock.advance(Duration.ofMillis(220));
     health.check(engine);
     clock.advance(Duration.ofMillis(10));
-    assertEquals(2, asked);
+    assertEquals(2, probes);
   }
 
   @Test
-  void suspectedEngineIsGivenAsMuchTime() {
-    check(Reply.REFUSES);
+  void timeoutOfSuspectedEngineIsExtendedAsWell() {
+    check(Reply.REFUSED);
     clock.runDue();
     replies.add(Reply.answersAfter(80));
     clock.advance(Duration.ofMillis(250));
@@ -245,30 +246,39 @@
     assertFalse(engine.suspected());
   }
 
-  private void listRun(long startedAt) {
+  private void listIncarnation(long startedAt) {
     HostPort address = new HostPort("10.0.0.3", 80);
-    Incarnation run = Incarnation.startedAt(startedAt);
+    Incarnation incarnation = Incarnation.startedAt(startedAt);
     fleet.put(
         new FleetEndpoint(
-            "c", "s", address, "dc1", 6, false, Optional.empty(), "", StorePosition.START, run));
+            "c",
+            "s",
+            address,
+            "dc1",
+            6,
+            false,
+            Optional.empty(),
+            "",
+            StorePosition.START,
+            incarnation));
     engine = fleet.find("s", address).get();
   }
 
   @Test
-  void answerOfALaterRunEndsTheSuspectedOne() {
-    listRun(1000);
-    check(Reply.REFUSES);
+  void answerOfLaterIncarnationEndsTheSuspectedOne() {
+    listIncarnation(1000);
+    check(Reply.REFUSED);
     clock.runDue();
-    tells = Incarnation.startedAt(2000);
+    reportedIncarnation = Incarnation.startedAt(2000);
     clock.advance(Duration.ofSeconds(1));
     assertTrue(engine.hasEnded());
     assertFalse(fleet.find("s", engine.address()).get().suspected());
   }
 
   @Test
-  void paceOfAFormerRunIsNotTaken() {
-    listRun(2000);
-    tells = Incarnation.startedAt(1000);
+  void paceOfFormerIncarnationIsIgnored() {
+    listIncarnation(2000);
+    reportedIncarnation = Incarnation.startedAt(1000);
     pace = 12;
     check(Reply.ANSWERS);
     clock.advance(Duration.ofSeconds(1));
@@ -276,20 +286,20 @@
   }
 
   @Test
-  void slowEngineThatTakesNothingOfThisNodeIsAskedForItsPaceOnceItDoes() {
+  void slowEngineIsProbedForPaceOnlyOnceItAcceptsRequests() {
     pace = 3;
     health.checkPace(engine);
     clock.advance(Duration.ofMillis(100));
     fleet.signals().rateLimits().recordFromEndpoint(engine, StatedLimit.of(2));
-    int before = asked;
+    int probesBefore = probes;
     clock.advance(Duration.ofSeconds(5));
-    assertEquals(before, asked);
+    assertEquals(probesBefore, probes);
     fleet.signals().rateLimits().recordFromEndpoint(engine, StatedLimit.none());
     clock.advance(Duration.ofSeconds(2));
-    assertTrue(asked > before, asked + " questions");
+    assertTrue(probes > probesBefore, probes + " probes");
   }
 
-  private void wantsNoCalls(int seconds) {
+  private void requestBackoff(int seconds) {
     StatedBackoff backoff = StatedBackoff.of(Duration.ofSeconds(seconds));
     fleet
         .signals()
@@ -297,61 +307,61 @@
   }
 
   @Test
-  void engineThatWantsNoCallsIsAskedOnceForASignOfLife() {
-    wantsNoCalls(3);
+  void engineInBackoffIsProbedOnceForHealth() {
+    requestBackoff(3);
     for (int i = 0; i < 29; i++) {
       health.check(engine);
       clock.advance(Duration.ofMillis(100));
     }
-    assertEquals(1, asked);
+    assertEquals(1, probes);
   }
 
   @Test
-  void engineThatWantsNoCallsAndIsSilentIsAskedTwiceAndSuspected() {
-    wantsNoCalls(3);
-    check(Reply.IS_SILENT, Reply.IS_SILENT);
+  void engineInBackoffIsSuspectedAfterTwoTimeouts() {
+    requestBackoff(3);
+    check(Reply.TIMEOUT, Reply.TIMEOUT);
     clock.advance(Duration.ofSeconds(2));
     assertTrue(engine.suspected());
-    assertEquals(2, asked);
+    assertEquals(2, probes);
   }
 
   @Test
-  void suspectedEngineThatWantsNoCallsIsAskedAgainOnceItsTimeIsOver() {
-    check(Reply.REFUSES);
+  void suspectedEngineInBackoffIsProbedAgainAfterBackoff() {
+    check(Reply.REFUSED);
     clock.runDue();
-    wantsNoCalls(3);
-    replies.add(Reply.REFUSES);
+    requestBackoff(3);
+    replies.add(Reply.REFUSED);
     clock.advance(Duration.ofMillis(2900));
-    assertEquals(2, asked);
+    assertEquals(2, probes);
     clock.advance(Duration.ofSeconds(2));
     assertFalse(engine.suspected());
   }
 
   @Test
-  void engineThatWantsNoCallsIsNotAskedForItsPace() {
-    wantsNoCalls(3);
+  void engineInBackoffIsNotProbedForPace() {
+    requestBackoff(3);
     health.checkPace(engine);
     clock.advance(Duration.ofMillis(2900));
-    assertEquals(0, asked);
+    assertEquals(0, probes);
   }
 
-  /** Guards against an engine that is only busy being taken for dead. */
+  /** Guards against a busy engine being suspected as dead. */
   @Test
-  void engineThatTurnsAQuestionAwayIsAlive() {
-    check(Reply.TURNS_AWAY);
+  void engineThatAnswersProbeWithBackoffIsNotSuspected() {
+    check(Reply.REQUESTS_BACKOFF);
     clock.advance(Duration.ofSeconds(1));
     assertFalse(engine.suspected());
   }
 
   @Test
-  void suspectedEngineThatTurnsAQuestionAwayIsAlive() {
-    check(Reply.REFUSES, Reply.TURNS_AWAY);
+  void suspicionIsClearedIfEngineAnswersProbeWithBackoff() {
+    check(Reply.REFUSED, Reply.REQUESTS_BACKOFF);
     clock.advance(Duration.ofMillis(500));
     assertFalse(engine.suspected());
   }
 
   @Test
-  void questionCountsAgainstWhatAnEngineTakes() {
+  void probeCountsAgainstRateLimit() {
     fleet.signals().rateLimits().recordFromEndpoint(engine, StatedLimit.of(2));
     engine.rateLimit().setShare(2, 1, clock.currentTime(NANOSECONDS));
     clock.advance(Duration.ofMillis(600));
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/package-info.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the table of endpoints. */
+/** Tests of the endpoint table and of the health checks. */
 package org.vaneworks.tests.fleet;
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadDatagramsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadDatagramsTest.java
@@ -24,7 +24,7 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.transport.entry.LoadDatagrams;
 
-/** Checks load reports as bytes and over the loopback. */
+/** Tests the encoding of load reports and their transport over the loopback interface. */
 final class LoadDatagramsTest {
   private static final HostPort ANY = new HostPort("127.0.0.1", 0);
   private static final LoadReport REPORT =
@@ -48,77 +48,79 @@
   }
 
   @Test
-  void reportIsReadAsItWasWritten() {
+  void reportSurvivesEncodingAndDecoding() {
     assertEquals(REPORT, LoadCodec.decode(LoadCodec.encode(REPORT)));
   }
 
   @Test
-  void bytesThatAreNoReportAreAnError() {
+  void invalidBytesAreRejected() {
     byte[] bytes = {0x0f, 0x7f, 0x01};
     assertThrows(IllegalArgumentException.class, () -> LoadCodec.decode(bytes));
   }
 
   @Test
-  void reportReachesItsPeerAlsoAfterBytesThatAreNone() throws Exception {
+  void reportIsDeliveredAfterInvalidDatagram() throws Exception {
     Counters counters = Counters.in(new SimpleMeterRegistry());
-    CompletableFuture<LoadReport> got = new CompletableFuture<>();
-    LoadDatagrams receiver = LoadDatagrams.listen(ANY, io, got::complete, counters);
+    CompletableFuture<LoadReport> received = new CompletableFuture<>();
+    LoadDatagrams receiver = LoadDatagrams.listen(ANY, io, received::complete, counters);
     LoadDatagrams sender = LoadDatagrams.listen(ANY, io, report -> {}, counters);
-    try (java.net.DatagramSocket stranger = new java.net.DatagramSocket()) {
+    try (java.net.DatagramSocket otherSocket = new java.net.DatagramSocket()) {
       HostPort to = receiver.address();
       byte[] bytes = {0x0f, 0x7f, 0x01};
-      stranger.send(
+      otherSocket.send(
           new java.net.DatagramPacket(
               bytes, bytes.length, java.net.InetAddress.getByName(to.host()), to.port()));
     }
     sender.send(receiver.address(), REPORT);
-    assertEquals(REPORT, collected(receiver, got));
+    assertEquals(REPORT, awaitReport(receiver, received));
     sender.close();
     receiver.close();
   }
 
-  /** Reports wait in the socket until they are collected. */
-  private LoadReport collected(LoadDatagrams receiver, CompletableFuture<LoadReport> got)
+  /** Collects until a report was delivered; received reports stay in the socket until then. */
+  private LoadReport awaitReport(LoadDatagrams receiver, CompletableFuture<LoadReport> received)
       throws Exception {
-    for (int i = 0; i < MAX_COLLECTIONS && !got.isDone(); i++) {
+    for (int i = 0; i < MAX_COLLECTIONS && !received.isDone(); i++) {
       io.execute(receiver::collect);
       Thread.sleep(COLLECTION_PAUSE_MILLIS);
     }
-    return got.get(0, TimeUnit.SECONDS);
+    return received.get(0, TimeUnit.SECONDS);
   }
 
   @Test
-  void longestReportIsReadWhole() throws Exception {
+  void largestReportIsDeliveredInFull() throws Exception {
     Counters counters = Counters.in(new SimpleMeterRegistry());
     ImmutableList.Builder<EndpointLoad> loads = ImmutableList.builder();
     for (int i = 0; i < 2400; i++) {
       loads.add(new EndpointLoad(i * 1_000_003, 5, 3_000_000));
     }
     LoadReport report = LoadReport.ofNode("box-1", loads.build());
-    CompletableFuture<LoadReport> got = new CompletableFuture<>();
-    LoadDatagrams receiver = LoadDatagrams.listen(ANY, io, got::complete, counters);
-    LoadDatagrams sender = LoadDatagrams.listen(ANY, io, heard -> {}, counters);
+    CompletableFuture<LoadReport> received = new CompletableFuture<>();
+    LoadDatagrams receiver = LoadDatagrams.listen(ANY, io, received::complete, counters);
+    LoadDatagrams sender = LoadDatagrams.listen(ANY, io, delivered -> {}, counters);
     sender.send(receiver.address(), report);
-    assertEquals(report, collected(receiver, got));
+    assertEquals(report, awaitReport(receiver, received));
     sender.close();
     receiver.close();
   }
 
   /**
-   * Peers tell more often than a node collects: what is left behind makes all that follows late.
+   * Guards against reports left in the socket: peers send more often than a node collects, so all
+   * later reports would be delayed.
    */
   @Test
-  void oneCollectionHandsOverAllThatHasCome() throws Exception {
+  void oneCollectionDeliversAllReceivedReports() throws Exception {
     Counters counters = Counters.in(new SimpleMeterRegistry());
-    CountDownLatch heard = new CountDownLatch(REPORTS);
-    LoadDatagrams receiver = LoadDatagrams.listen(ANY, io, report -> heard.countDown(), counters);
+    CountDownLatch delivered = new CountDownLatch(REPORTS);
+    LoadDatagrams receiver =
+        LoadDatagrams.listen(ANY, io, report -> delivered.countDown(), counters);
     LoadDatagrams sender = LoadDatagrams.listen(ANY, io, report -> {}, counters);
     for (int i = 0; i < REPORTS; i++) {
       sender.send(receiver.address(), REPORT);
     }
-    // Behind the sends on the same loop: by then all of them wait in the receiver's socket.
+    // Runs after the sends on the same loop, when all reports wait in the receiver's socket.
     io.execute(receiver::collect);
-    assertTrue(heard.await(10, TimeUnit.SECONDS), "left behind: " + heard.getCount());
+    assertTrue(delivered.await(10, TimeUnit.SECONDS), "not delivered: " + delivered.getCount());
     sender.close();
     receiver.close();
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadExchangeTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadExchangeTest.java
@@ -27,25 +27,28 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Checks what a node tells its peers of its load, and what it makes of theirs. */
+/** Tests which load a node reports to its peers, and how it uses the load that they report. */
 final class LoadExchangeTest {
   private static final HostPort PEER_1 = new HostPort("10.1.0.1", 7340);
   private static final HostPort PEER_2 = new HostPort("10.1.0.2", 7340);
 
-  /** After that peers have told of what they began beside this node. */
-  private static final int LONG_AGO_MILLIS = 3000;
+  /**
+   * After this time, peers have reported the requests that they started at the same time as this
+   * node.
+   */
+  private static final int SETTLED_MILLIS = 3000;
 
-  /** Allowed for what fades and is never quite gone. */
-  private static final double EXACT = 1e-6;
+  /** Tolerance for exponentially decaying terms. */
+  private static final double TOLERANCE = 1e-6;
 
   private final PausedExecutor clock = PausedExecutor.create();
   private final Fleet fleet =
       Fleet.create(clock, Counters.in(new SimpleMeterRegistry()), Duration.ofMillis(2500));
-  private final List<HostPort> told = new ArrayList<>();
+  private final List<HostPort> reportedTo = new ArrayList<>();
   private final List<LoadReport> reports = new ArrayList<>();
-  private LoadReport last;
+  private LoadReport lastReport;
   private int liveNodes = 3;
-  private int bytesOfAReport = 100;
+  private int reportBytes = 100;
   private ImmutableList<Peer> peers =
       ImmutableList.of(new Peer("one", "dc1", PEER_1), new Peer("two", "dc1", PEER_2));
   private final LoadExchange exchange =
@@ -58,10 +61,10 @@
           () -> liveNodes,
           () -> 7,
           (peer, report) -> {
-            told.add(peer);
-            last = report;
+            reportedTo.add(peer);
+            lastReport = report;
             reports.add(report);
-            return bytesOfAReport;
+            return reportBytes;
           });
   private final TrackedEndpoint engine = engine();
 
@@ -81,75 +84,75 @@
     return fleet.find("m", address).get();
   }
 
-  private void peerTells(String sender, int requests, long tokenLayers) {
+  private void peerReports(String sender, int requests, long tokenLayers) {
     EndpointLoad load =
         new EndpointLoad(EndpointLoad.keyOf(engine.endpoint()), requests, tokenLayers);
     exchange.receive(LoadReport.ofNode(sender, ImmutableList.of(load)));
   }
 
-  /** Lets time pass; then endpoints are looked at to choose from, as before each request. */
+  /** Advances the clock, then selects among endpoints, as before each request. */
   private void advance(int millis) {
     clock.advance(Duration.ofMillis(millis));
     fleet.listed("m");
   }
 
   @Test
-  void peersAreToldInTurn() {
+  void reportsAreSentToPeersInTurn() {
     exchange.start();
     advance(170);
-    assertEquals(List.of(PEER_2, PEER_1, PEER_2, PEER_1), told);
+    assertEquals(List.of(PEER_2, PEER_1, PEER_2, PEER_1), reportedTo);
   }
 
   @Test
-  void onlyOwnRequestsAreTold() {
+  void reportContainsOnlyOwnRequests() {
     exchange.start();
     engine.reserve(5000);
-    peerTells("other", 7, 70_000);
+    peerReports("other", 7, 70_000);
     advance(100);
     assertEquals(
         ImmutableList.of(new EndpointLoad(EndpointLoad.keyOf(engine.endpoint()), 1, 5000)),
-        last.loads());
+        lastReport.loads());
   }
 
   @Test
-  void requestsOfAllAreThoseOfThisNodeAndItsPeers() {
+  void totalRequestsIncludeThisNodeAndItsPeers() {
     exchange.start();
     engine.reserve(5000);
-    advance(LONG_AGO_MILLIS);
-    peerTells("one", 7, 70_000);
-    peerTells("two", 2, 20_000);
+    advance(SETTLED_MILLIS);
+    peerReports("one", 7, 70_000);
+    peerReports("two", 2, 20_000);
     advance(50);
-    assertEquals(10, engine.totalRequests(), EXACT);
-    assertEquals(95_000, engine.totalTokenLayers(), EXACT);
+    assertEquals(10, engine.totalRequests(), TOLERANCE);
+    assertEquals(95_000, engine.totalTokenLayers(), TOLERANCE);
   }
 
   @Test
-  void newerReportReplacesTheOneBefore() {
+  void newerReportReplacesThePrevious() {
     exchange.start();
-    peerTells("one", 7, 70_000);
-    peerTells("two", 0, 0);
-    peerTells("one", 3, 30_000);
+    peerReports("one", 7, 70_000);
+    peerReports("two", 0, 0);
+    peerReports("one", 3, 30_000);
     advance(50);
     assertEquals(3, engine.totalRequests());
   }
 
   @Test
-  void nodesThatWereNotHeardAreTakenToBeLikeTheOthers() {
+  void unknownNodesAreAssumedToResembleTheOthers() {
     exchange.start();
     engine.reserve(5000);
     advance(50);
     assertEquals(3, engine.totalRequests());
-    advance(LONG_AGO_MILLIS);
-    peerTells("one", 5, 50_000);
+    advance(SETTLED_MILLIS);
+    peerReports("one", 5, 50_000);
     advance(50);
-    assertEquals(9, engine.totalRequests(), EXACT);
+    assertEquals(9, engine.totalRequests(), TOLERANCE);
   }
 
   @Test
-  void peerThatIsNoLongerHeardIsForgotten() {
+  void reportOfSilentPeerExpires() {
     exchange.start();
     liveNodes = 1;
-    peerTells("one", 7, 70_000);
+    peerReports("one", 7, 70_000);
     advance(1400);
     assertEquals(7, engine.totalRequests());
     advance(200);
@@ -157,63 +160,63 @@
   }
 
   @Test
-  void ownReportThatComesBackIsIgnored() {
+  void ownReportIsIgnored() {
     exchange.start();
     liveNodes = 1;
-    peerTells("here", 7, 70_000);
+    peerReports("here", 7, 70_000);
     advance(50);
     assertEquals(0, engine.totalRequests());
   }
 
   @Test
-  void nothingIsToldAfterTheStop() {
+  void nothingIsSentAfterStop() {
     exchange.start();
     exchange.stop();
     advance(500);
-    assertEquals(List.of(), told);
+    assertEquals(List.of(), reportedTo);
   }
 
   @Test
-  void otherDataCentresAreToldTheSumOfTheGroup() {
+  void otherDataCentresReceiveTheGroupTotal() {
     peers = ImmutableList.of(new Peer("one", "dc1", PEER_1), new Peer("far", "dc2", PEER_2));
     exchange.start();
     engine.reserve(5000);
     advance(10);
-    peerTells("one", 7, 70_000);
+    peerReports("one", 7, 70_000);
     advance(80);
-    LoadReport sum = reports.stream().filter(LoadReport::isGroupTotal).findFirst().orElseThrow();
+    LoadReport total = reports.stream().filter(LoadReport::isGroupTotal).findFirst().orElseThrow();
     assertEquals(
         ImmutableList.of(new EndpointLoad(EndpointLoad.keyOf(engine.endpoint()), 8, 75_000)),
-        sum.loads());
-    assertEquals(2, sum.nodes());
-    assertEquals(PEER_2, told.get(reports.indexOf(sum)));
+        total.loads());
+    assertEquals(2, total.nodes());
+    assertEquals(PEER_2, reportedTo.get(reports.indexOf(total)));
   }
 
   @Test
-  void newestSumOfAGroupCountsWhoeverTellsIt() {
+  void newestGroupTotalAppliesWhoeverSendsIt() {
     exchange.start();
     liveNodes = 1;
     advance(50);
-    groupTells("far1", "dc2/1/0", 9);
-    groupTells("far2", "dc2/1/0", 4);
-    groupTells("far3", "dc3/1/0", 2);
+    groupReports("far1", "dc2/1/0", 9);
+    groupReports("far2", "dc2/1/0", 4);
+    groupReports("far3", "dc3/1/0", 2);
     advance(50);
     assertEquals(6, engine.totalRequests());
   }
 
   @Test
-  void sumOfThisNodesOwnGroupIsNotCountedTwice() {
+  void totalOfOwnGroupIsNotCountedTwice() {
     exchange.start();
     liveNodes = 1;
-    peerTells("one", 7, 70_000);
+    peerReports("one", 7, 70_000);
     advance(50);
-    groupTells("one", "dc1/1/0", 8);
+    groupReports("one", "dc1/1/0", 8);
     advance(50);
     assertEquals(7, engine.totalRequests());
   }
 
   @Test
-  void manyNodesOfADataCentreMakeSeveralGroups() {
+  void manyNodesOfADataCentreFormSeveralGroups() {
     ImmutableList.Builder<Peer> many = ImmutableList.builder();
     for (int i = 1; i < 64; i++) {
       many.add(new Peer("box-" + i, "dc1", new HostPort("10.1.1." + i, 7340)));
@@ -222,40 +225,40 @@
     engine.reserve(5000);
     exchange.start();
     advance(40 * 200);
-    long membersTold = told.stream().distinct().count();
-    assertTrue(membersTold > 10 && told.size() > 150, membersTold + " of " + told.size());
-    assertTrue(last.nodes() == 1, "nobody was heard: " + last);
+    long recipients = reportedTo.stream().distinct().count();
+    assertTrue(recipients > 10 && reportedTo.size() > 150, recipients + " of " + reportedTo.size());
+    assertTrue(lastReport.nodes() == 1, "no reports were received: " + lastReport);
   }
 
   @Test
-  void pauseFollowsTheSizeOfAReport() {
-    bytesOfAReport = 4472;
+  void pauseDependsOnReportSize() {
+    reportBytes = 4472;
     exchange.start();
     advance(45);
-    assertEquals(1, told.size());
+    assertEquals(1, reportedTo.size());
     advance(950);
-    assertEquals(1, told.size());
+    assertEquals(1, reportedTo.size());
     advance(60);
-    assertEquals(2, told.size());
+    assertEquals(2, reportedTo.size());
   }
 
   @Test
-  void peersAreTakenToBeginWhatThisNodeBegins() {
+  void peersAreAssumedToStartAsManyRequestsAsThisNode() {
     exchange.start();
     liveNodes = 3;
-    peerTells("one", 0, 0);
-    peerTells("two", 0, 0);
+    peerReports("one", 0, 0);
+    peerReports("two", 0, 0);
     advance(50);
     engine.reserve(1000);
     assertEquals(3, engine.totalRequests());
     assertEquals(3000, engine.totalTokenLayers());
-    peerTells("one", 0, 0);
-    peerTells("two", 0, 0);
+    peerReports("one", 0, 0);
+    peerReports("two", 0, 0);
     advance(400);
     assertEquals(1, engine.totalRequests(), 0.1);
   }
 
-  private void groupTells(String sender, String group, int requests) {
+  private void groupReports(String sender, String group, int requests) {
     EndpointLoad load = new EndpointLoad(EndpointLoad.keyOf(engine.endpoint()), requests, 0);
     exchange.receive(
         new LoadReport(
@@ -266,92 +269,98 @@
     return ImmutableList.of(new EnginePace(EndpointLoad.keyOf(engine.endpoint()), pace));
   }
 
-  private void peerKnowsSlow(String sender, ImmutableList<EnginePace> slow) {
+  private void peerReportsSlow(String sender, ImmutableList<EnginePace> slow) {
     exchange.receive(LoadReport.ofNode(sender, ImmutableList.of(), slow, ImmutableList.of()));
   }
 
-  /** The load of an engine that turned slow: each of many nodes would find out by a late stream. */
+  /**
+   * Guards against each of many nodes discovering a slow engine only through a delayed stream of
+   * its own.
+   */
   @Test
-  void engineThatAPeerKnowsToBeSlowIsTakenAsSlow() {
+  void engineReportedSlowByPeerIsSlow() {
     exchange.start();
-    peerKnowsSlow("one", slow(5));
+    peerReportsSlow("one", slow(5));
     advance(50);
     assertEquals(5, engine.pace());
   }
 
   @Test
-  void engineThatNoPeerCallsSlowAnyMoreIsFastAgain() {
+  void engineIsFastAgainOnceNoPeerReportsItSlow() {
     exchange.start();
-    peerKnowsSlow("one", slow(5));
+    peerReportsSlow("one", slow(5));
     advance(50);
-    peerKnowsSlow("one", ImmutableList.of());
+    peerReportsSlow("one", ImmutableList.of());
     advance(50);
     assertEquals(1, engine.pace());
   }
 
   @Test
-  void silentPeersWordOfASlowEngineLapses() {
+  void slowEngineReportOfSilentPeerExpires() {
     exchange.start();
-    peerKnowsSlow("one", slow(5));
+    peerReportsSlow("one", slow(5));
     advance(1600);
     assertEquals(1, engine.pace());
   }
 
   @Test
-  void whatPeersSayOfASlowEngineIsNotToldAsFirstHand() {
+  void slowEngineReportedByPeerIsNotReportedAsOwn() {
     exchange.start();
-    peerKnowsSlow("one", slow(5));
+    peerReportsSlow("one", slow(5));
     advance(100);
-    assertEquals(ImmutableList.of(), last.slowEngines());
+    assertEquals(ImmutableList.of(), lastReport.slowEngines());
   }
 
   @Test
-  void slowEnginesOfTheGroupAreToldToOtherGroups() {
+  void slowEnginesOfGroupAreReportedToOtherGroups() {
     peers = ImmutableList.of(new Peer("far", "dc2", PEER_2));
     exchange.start();
-    peerKnowsSlow("one", slow(5));
+    peerReportsSlow("one", slow(5));
     advance(50);
-    assertTrue(last.isGroupTotal());
-    assertEquals(slow(5), last.slowEngines());
+    assertTrue(lastReport.isGroupTotal());
+    assertEquals(slow(5), lastReport.slowEngines());
   }
 
   @Test
-  void loadThatPeersTellOfAFormerRunSaysNothingOfTheNext() {
+  void loadOfFormerIncarnationDoesNotAffectTheNext() {
     FleetEndpoint listed = engine.endpoint();
     exchange.start();
-    advance(LONG_AGO_MILLIS);
-    peerTells("one", 7, 70_000);
-    peerTells("two", 0, 0);
+    advance(SETTLED_MILLIS);
+    peerReports("one", 7, 70_000);
+    peerReports("two", 0, 0);
     advance(100);
     assertEquals(7, engine.totalRequests(), 0.1);
-    engineStartsAgain();
+    restartEngine();
     advance(100);
     assertEquals(0, fleet.find("m", listed.address()).get().totalRequests(), 0.1);
   }
 
-  /** Nodes wait for traffic most of a night; each report costs them and their peers time. */
+  /**
+   * Guards against needless reports of idle nodes: each costs processor time at the sender and the
+   * receiver.
+   */
   @Test
-  void nodeWithoutRequestsTellsAFifthAsOftenOnceAllWereTold() {
+  void idleNodeReportsAFifthAsOftenOnceAllPeersAreInformed() {
     exchange.start();
     advance(2000);
-    told.clear();
+    reportedTo.clear();
     advance(10_000);
-    assertEquals(40, told.size(), 1);
+    assertEquals(40, reportedTo.size(), 1);
   }
 
   @Test
-  void nodeTellsOftenAgainFromItsFirstRequestOn() {
+  void nodeReportsAtFullRateFromItsFirstRequest() {
     exchange.start();
     advance(2000);
     engine.reserve(5000);
     advance(250);
-    told.clear();
+    reportedTo.clear();
     advance(1000);
-    assertEquals(25, told.size(), 1);
+    assertEquals(25, reportedTo.size(), 1);
   }
 
   @Test
-  void peerThatToldOfNoRequestCountsUntilItsNextReportIsOverdue() {
+  void emptyReportOfPeerCountsUntilTheNextIsOverdue() {
     exchange.start();
     advance(2000);
     engine.reserve(5000);
@@ -364,7 +373,7 @@
     assertEquals(3, engine.totalRequests(), 0.1);
   }
 
-  private void engineStartsAgain() {
+  private void restartEngine() {
     FleetEndpoint listed = engine.endpoint();
     fleet.put(
         new FleetEndpoint(
@@ -380,95 +389,97 @@
             Incarnation.startedAt(2000)));
   }
 
-  private void peerTellsLimit(StatedLimit limit, int ageMillis) {
-    ReportedRateLimit told =
+  private void peerReportsLimit(StatedLimit limit, int ageMillis) {
+    ReportedRateLimit reported =
         new ReportedRateLimit(
             EndpointLoad.keyOf(engine.endpoint()), limit, Duration.ofMillis(ageMillis));
     exchange.receive(
-        LoadReport.ofNode("one", ImmutableList.of(), ImmutableList.of(), ImmutableList.of(told)));
+        LoadReport.ofNode(
+            "one", ImmutableList.of(), ImmutableList.of(), ImmutableList.of(reported)));
   }
 
-  private void engineSays(StatedLimit limit) {
+  private void engineAnnounces(StatedLimit limit) {
     fleet.signals().rateLimits().recordFromEndpoint(engine, limit);
   }
 
   @Test
-  void limitThatAnEngineNamedIsToldWithItsAge() {
+  void limitAnnouncedByEngineIsReportedWithItsAge() {
     exchange.start();
-    engineSays(StatedLimit.of(3));
+    engineAnnounces(StatedLimit.of(3));
     advance(200);
-    ReportedRateLimit told = last.limits().get(0);
-    assertEquals(StatedLimit.of(3), told.limit());
-    assertTrue(told.age().toMillis() >= 100 && told.age().toMillis() <= 200, told.toString());
+    ReportedRateLimit reported = lastReport.limits().get(0);
+    assertEquals(StatedLimit.of(3), reported.limit());
+    assertTrue(
+        reported.age().toMillis() >= 100 && reported.age().toMillis() <= 200, reported.toString());
   }
 
   @Test
-  void endOfALimitIsToldForAWhile() {
+  void endOfLimitIsReportedForAWhile() {
     exchange.start();
-    engineSays(StatedLimit.of(3));
-    engineSays(StatedLimit.none());
+    engineAnnounces(StatedLimit.of(3));
+    engineAnnounces(StatedLimit.none());
     advance(1000);
-    assertEquals(StatedLimit.none(), last.limits().get(0).limit());
+    assertEquals(StatedLimit.none(), lastReport.limits().get(0).limit());
     advance(5000);
-    assertEquals(ImmutableList.of(), last.limits());
+    assertEquals(ImmutableList.of(), lastReport.limits());
   }
 
   @Test
-  void limitThatAPeerToldIsInForceAndNotToldAgain() {
+  void limitReportedByPeerIsInForceAndNotReportedAgain() {
     exchange.start();
-    peerTellsLimit(StatedLimit.of(3), 0);
+    peerReportsLimit(StatedLimit.of(3), 0);
     advance(200);
     assertEquals(ImmutableList.of(engine), fleet.signals().rateLimits().inForce());
-    assertEquals(ImmutableList.of(), last.limits());
+    assertEquals(ImmutableList.of(), lastReport.limits());
   }
 
   @Test
-  void groupsAreToldWhatTheirSendersMembersHeard() {
+  void limitsReceivedByGroupMembersAreReportedToOtherGroups() {
     peers =
         ImmutableList.of(
             new Peer("one", "dc1", PEER_1), new Peer("far", "dc2", new HostPort("10.2.0.1", 7340)));
     exchange.start();
-    peerTellsLimit(StatedLimit.of(3), 0);
+    peerReportsLimit(StatedLimit.of(3), 0);
     advance(300);
-    LoadReport ofGroup =
+    LoadReport groupTotal =
         reports.stream()
             .filter(LoadReport::isGroupTotal)
             .reduce((first, later) -> later)
             .orElseThrow();
-    assertEquals(StatedLimit.of(3), ofGroup.limits().get(0).limit());
+    assertEquals(StatedLimit.of(3), groupTotal.limits().get(0).limit());
   }
 
   @Test
-  void newestWordCountsWhoeverHeardIt() {
-    engineSays(StatedLimit.of(3));
+  void newestLimitAppliesWhoeverReceivedIt() {
+    engineAnnounces(StatedLimit.of(3));
     advance(1000);
-    peerTellsLimit(StatedLimit.none(), 2000);
+    peerReportsLimit(StatedLimit.none(), 2000);
     assertEquals(ImmutableList.of(engine), fleet.signals().rateLimits().inForce());
-    peerTellsLimit(StatedLimit.none(), 100);
+    peerReportsLimit(StatedLimit.none(), 100);
     assertEquals(ImmutableList.of(), fleet.signals().rateLimits().inForce());
-    peerTellsLimit(StatedLimit.of(3), 500);
+    peerReportsLimit(StatedLimit.of(3), 500);
     assertEquals(ImmutableList.of(), fleet.signals().rateLimits().inForce());
   }
 
   @Test
-  void unreadableWordChangesNothing() {
-    engineSays(StatedLimit.of(3));
-    engineSays(StatedLimit.unreadable());
+  void unreadableLimitIsIgnored() {
+    engineAnnounces(StatedLimit.of(3));
+    engineAnnounces(StatedLimit.unreadable());
     assertEquals(ImmutableList.of(engine), fleet.signals().rateLimits().inForce());
   }
 
   @Test
-  void limitOfAFormerRunSaysNothingOfTheNext() {
-    engineSays(StatedLimit.of(3));
-    engineStartsAgain();
-    peerTellsLimit(StatedLimit.of(3), 0);
+  void limitOfFormerIncarnationDoesNotAffectTheNext() {
+    engineAnnounces(StatedLimit.of(3));
+    restartEngine();
+    peerReportsLimit(StatedLimit.of(3), 0);
     assertEquals(ImmutableList.of(), fleet.signals().rateLimits().inForce());
   }
 
   @Test
-  void newestConfigurationThatTheNodeHasSeenIsTold() {
+  void newestConfigurationVersionIsReported() {
     exchange.start();
     advance(200);
-    assertEquals(7, last.configurationVersion());
+    assertEquals(7, lastReport.configurationVersion());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/RateLimitSharesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/RateLimitSharesTest.java
@@ -23,15 +23,18 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Checks which nodes share what an endpoint takes. */
+/** Tests which nodes share the rate limit of an endpoint, and that they keep to it together. */
 final class RateLimitSharesTest {
   private static final double LIMIT = 3.2;
 
-  /** Shares are told apart by the starts that they allow in that time. */
-  private static final int SECONDS = 20;
+  /** Duration over which started requests are counted, in seconds. */
+  private static final int DURATION_SECONDS = 20;
 
-  /** Between two looks; each start waits for the next one. */
-  private static final int TICK_MILLIS = 10;
+  /**
+   * Interval at which a node checks whether it may start a request; a start may be delayed by this
+   * much.
+   */
+  private static final int CHECK_INTERVAL_MILLIS = 10;
 
   private final PausedExecutor clock = PausedExecutor.create();
   private ImmutableList<String> boxes = boxes(8);
@@ -42,7 +45,7 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  /** One node's view. */
+  /** One node with its own table of endpoints. */
   private final class Node {
     private final Fleet fleet =
         Fleet.create(clock, Counters.in(new SimpleMeterRegistry()), Duration.ofSeconds(3));
@@ -66,13 +69,16 @@
           clock, new Random(box.hashCode()), fleet, box, dataCentre, () -> peersOf(box));
     }
 
-    /** Returns how many requests it may begin in a while, each as soon as it may. */
-    int startsInAWhile(double limit) {
+    /**
+     * Returns the number of requests that the node starts within the period, each as soon as
+     * permitted.
+     */
+    int countStarts(double limit) {
       fleet.signals().rateLimits().recordFromEndpoint(engine, StatedLimit.of(limit));
       int starts = 0;
-      for (int tick = 0; tick < SECONDS * 1000 / TICK_MILLIS; tick++) {
-        clock.advance(Duration.ofMillis(TICK_MILLIS));
-        starts += begin() ? 1 : 0;
+      for (int tick = 0; tick < DURATION_SECONDS * 1000 / CHECK_INTERVAL_MILLIS; tick++) {
+        clock.advance(Duration.ofMillis(CHECK_INTERVAL_MILLIS));
+        starts += tryStart() ? 1 : 0;
         if (tick % 100 == 0) {
           fleet.signals().rateLimits().recordFromEndpoint(engine, StatedLimit.of(limit));
         }
@@ -80,16 +86,16 @@
       return starts;
     }
 
-    boolean begin() {
-      boolean open = !fleet.usable("m").isEmpty();
-      if (open) {
+    boolean tryStart() {
+      boolean permitted = !fleet.usable("m").isEmpty();
+      if (permitted) {
         fleet.signals().recordCall(engine, CallPurpose.FIRST_SEND);
       }
-      return open;
+      return permitted;
     }
   }
 
-  /** Boxes with an even number stand in dc1, beside the engine. */
+  /** Boxes with an even number are in dc1, the data centre of the engine. */
   private static String dataCentreOf(String box) {
     return Integer.parseInt(box.substring(4)) % 2 == 0 ? "dc1" : "dc2";
   }
@@ -101,61 +107,61 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  private int allStarts(double limit) {
+  private int startsOfAllNodes(double limit) {
     return boxes.stream()
-        .mapToInt(box -> new Node(box, dataCentreOf(box)).startsInAWhile(limit))
+        .mapToInt(box -> new Node(box, dataCentreOf(box)).countStarts(limit))
         .sum();
   }
 
   @Test
-  void allNodesTogetherMayBeginWhatTheEndpointTakes() {
-    assertEquals(LIMIT * SECONDS, allStarts(LIMIT), boxes.size());
+  void allNodesTogetherUseTheLimit() {
+    assertEquals(LIMIT * DURATION_SECONDS, startsOfAllNodes(LIMIT), boxes.size());
   }
 
   @Test
-  void sameHoldsForMoreNodesThanTheLimitIsLarge() {
+  void allNodesTogetherUseTheLimitWithMoreNodesThanRequestsPerSecond() {
     boxes = boxes(100);
-    assertEquals(LIMIT * SECONDS, allStarts(LIMIT), 2 * LIMIT);
+    assertEquals(LIMIT * DURATION_SECONDS, startsOfAllNodes(LIMIT), 2 * LIMIT);
   }
 
   @Test
-  void nodesOfOtherDataCentresLeaveTheEndpointAlone() {
-    assertEquals(0, new Node("box-1", "dc2").startsInAWhile(LIMIT));
+  void nodesInOtherDataCentresDoNotUseTheEndpoint() {
+    assertEquals(0, new Node("box-1", "dc2").countStarts(LIMIT));
   }
 
   @Test
-  void nodesOfOtherDataCentresShareItIfItsOwnHasNone() {
+  void nodesInOtherDataCentresShareTheLimitIfTheEndpointsOwnHasNone() {
     boxes = ImmutableList.of("box-1", "box-3", "box-5");
-    assertEquals(LIMIT * SECONDS, allStarts(LIMIT), boxes.size());
+    assertEquals(LIMIT * DURATION_SECONDS, startsOfAllNodes(LIMIT), boxes.size());
   }
 
   @Test
-  void nodeThatIsAloneMayBeginAll() {
+  void singleNodeUsesTheWholeLimit() {
     boxes = ImmutableList.of("box-0");
-    double looks = LIMIT * SECONDS * LIMIT * TICK_MILLIS / 1000;
-    assertEquals(LIMIT * SECONDS, allStarts(LIMIT), 1 + looks);
+    double lostStarts = LIMIT * DURATION_SECONDS * LIMIT * CHECK_INTERVAL_MILLIS / 1000;
+    assertEquals(LIMIT * DURATION_SECONDS, startsOfAllNodes(LIMIT), 1 + lostStarts);
   }
 
   @Test
-  void startsAreNotSavedUp() {
+  void unusedStartsDoNotAccumulate() {
     boxes = ImmutableList.of("box-0");
     Node node = new Node("box-0", "dc1");
     node.fleet.signals().rateLimits().recordFromEndpoint(node.engine, StatedLimit.of(LIMIT));
-    node.begin();
+    node.tryStart();
     clock.advance(Duration.ofSeconds(8));
-    assertTrue(node.begin());
-    assertEquals(false, node.begin());
+    assertTrue(node.tryStart());
+    assertEquals(false, node.tryStart());
   }
 
   @Test
-  void nodeWithoutAShareTriesTheEndpointOnceItsWordIsOld() {
+  void nodeWithoutShareTriesTheEndpointOnceTheLimitIsOutdated() {
     Node node = new Node("box-1", "dc2");
     node.fleet.signals().rateLimits().recordFromEndpoint(node.engine, StatedLimit.of(LIMIT));
     int starts = 0;
-    for (int tick = 0; tick < 3 * SECONDS * 1000 / TICK_MILLIS; tick++) {
-      clock.advance(Duration.ofMillis(TICK_MILLIS));
-      starts += node.begin() ? 1 : 0;
+    for (int tick = 0; tick < 3 * DURATION_SECONDS * 1000 / CHECK_INTERVAL_MILLIS; tick++) {
+      clock.advance(Duration.ofMillis(CHECK_INTERVAL_MILLIS));
+      starts += node.tryStart() ? 1 : 0;
     }
-    assertTrue(starts >= 1 && starts <= LIMIT * 3 * SECONDS / 8, starts + " starts");
+    assertTrue(starts >= 1 && starts <= LIMIT * 3 * DURATION_SECONDS / 8, starts + " starts");
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/SharedEnginesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/SharedEnginesTest.java
@@ -15,17 +15,17 @@
 import org.vaneworks.tests.placement.Models;
 
 /**
- * The load of calm seconds on engines that many nodes share.
+ * Tests the selection of engines that many nodes share, under steady load.
  *
- * <p>Pattern: nothing is wrong and the engines have room, yet nodes that see the same late reports
- * prefer the same engines, fill them and leave them together. Streams last one to two seconds, so a
- * report that is older than that tells nothing of the present.
+ * <p>Failure guarded against: all engines are healthy and have capacity, but nodes that see the
+ * same outdated reports prefer the same engines, fill them and abandon them together. Streams last
+ * one to two seconds, so an older report says nothing about the present.
  *
- * <p>Grounds for the figures: engines of three kinds in five data centres in the users'
- * proportions, 342 streams a second of 774 tokens to read and 200 to write on average.
+ * <p>The fleet has engines of three kinds in five data centres in the users' proportions, and
+ * receives 342 streams per second that read 774 and write 200 tokens on average.
  */
 final class SharedEnginesTest {
-  private static final Duration LENGTH = Duration.ofSeconds(8);
+  private static final Duration DURATION = Duration.ofSeconds(8);
 
   private static final FleetShape FLEET =
       new FleetShape(
@@ -47,30 +47,30 @@
 
   @ParameterizedTest
   @ValueSource(ints = {8, 20, 95})
-  void engineWithRoomIsFoundWhateverTheNumberOfNodes(int nodes) {
+  void fewStreamsAreRejectedOrLateForAnyNumberOfNodes(int nodes) {
     FleetOutcome outcome = run(FLEET.withNodes(nodes));
     assertTrue(outcome.rejectedShare() < 0.01, outcome.toString());
     assertTrue(outcome.lateShare() < 0.005, outcome.toString());
   }
 
   @Test
-  void engineWithRoomIsFoundByEightNodesOfOneDataCentre() {
+  void fewStreamsAreRejectedOrLateWithEightNodesInOneDataCentre() {
     FleetShape one = new FleetShape(ImmutableList.of(centre("dc-a", 8, 4, 11, 28, 75.5)));
     FleetOutcome outcome = run(one);
     assertTrue(outcome.rejectedShare() < 0.01, outcome.toString());
     assertTrue(outcome.lateShare() < 0.005, outcome.toString());
   }
 
-  /** A node there begins one stream a second, which tells it little of its peers. */
+  /** Each node starts one stream per second, which indicates little about its peers' streams. */
   @Test
-  void enginesRejectLittleWithMoreNodesThanEngines() {
+  void fewStreamsAreRejectedWithMoreNodesThanEngines() {
     FleetOutcome outcome = run(FLEET.withNodes(350));
     assertTrue(outcome.rejectedShare() < 0.08, outcome.toString());
     assertTrue(outcome.lateShare() < 0.01, outcome.toString());
   }
 
   @Test
-  void enginesRejectLittleUnderMoreThanTheUsualTraffic() {
+  void fewStreamsAreRejectedUnderHighTraffic() {
     FleetOutcome outcome = run(FLEET.withTraffic(1.6));
     assertTrue(outcome.rejectedShare() < 0.06, outcome.toString());
     assertTrue(outcome.lateShare() < 0.01, outcome.toString());
@@ -78,12 +78,12 @@
 
   @ParameterizedTest
   @ValueSource(ints = {8, 95, 350})
-  void reportsStayWithinTheBytesOfControlTraffic(int nodes) {
+  void reportsStayWithinControlTrafficBudget(int nodes) {
     FleetOutcome outcome = run(FLEET.withNodes(nodes).withTraffic(1.6));
     assertTrue(outcome.reportBytesPerNodeSecond() < 5000, outcome.toString());
   }
 
   private static FleetOutcome run(FleetShape fleet) {
-    return SharedEnginesModel.run(fleet, Models.eightyLayers(), 1, LENGTH);
+    return SharedEnginesModel.run(fleet, Models.eightyLayers(), 1, DURATION);
   }
 }
