--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
@@ -181,7 +181,7 @@
 
   private void forgetConnections(TrackedEndpoint endpoint) {
     connections.forget(endpoint.address());
-    adapters.engines().forget(endpoint.address());
+    adapters.engines().closeConnections(endpoint.address());
   }
 
   private long configurationVersion() {
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
@@ -763,7 +763,7 @@
     }
 
     @Override
-    public CompletableFuture<OrderOutcome> hold(
+    public CompletableFuture<OrderOutcome> assignLayers(
         FleetEndpoint engine, LayerRange layers, OrderGuard guard) {
       boolean taken = !isTurnedAway(engine);
       return CompletableFuture.completedFuture(
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/DelayedHealthCheckerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/DelayedHealthCheckerTest.java
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public CompletableFuture<OrderOutcome> hold(
+    public CompletableFuture<OrderOutcome> assignLayers(
         FleetEndpoint endpoint, LayerRange layers, OrderGuard guard) {
       throw new UnsupportedOperationException();
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/HealthCheckerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/HealthCheckerTest.java
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public CompletableFuture<OrderOutcome> hold(
+    public CompletableFuture<OrderOutcome> assignLayers(
         FleetEndpoint endpoint, LayerRange layers, OrderGuard guard) {
       throw new UnsupportedOperationException();
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public CompletableFuture<OrderOutcome> hold(
+    public CompletableFuture<OrderOutcome> assignLayers(
         FleetEndpoint engine, LayerRange layers, OrderGuard guard) {
       return CompletableFuture.completedFuture(OrderOutcome.ACCEPTED);
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public CompletableFuture<OrderOutcome> hold(
+    public CompletableFuture<OrderOutcome> assignLayers(
         FleetEndpoint engine, LayerRange layers, OrderGuard guard) {
       if (refusals > 0) {
         refusals--;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineControl.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineControl.java
@@ -32,7 +32,7 @@
    * The preconditions of an order to hold a range of layers.
    *
    * @param fence the fencing token, which increases with each controller
-   * @param expectedOrders the number of orders that the engine must have accepted before
+   * @param expectedOrders the number of orders that the engine must have started before
    */
   record OrderGuard(long fence, long expectedOrders) {}
 
@@ -40,7 +40,8 @@
   CompletableFuture<EngineReport> report(FleetEndpoint engine, Duration limit);
 
   /** Orders an engine to hold exactly these layers. */
-  CompletableFuture<OrderOutcome> hold(FleetEndpoint engine, LayerRange layers, OrderGuard guard);
+  CompletableFuture<OrderOutcome> assignLayers(
+      FleetEndpoint engine, LayerRange layers, OrderGuard guard);
 
   /**
    * Orders the first engine of a request's path to switch to another path.
@@ -57,5 +58,5 @@
   default void onStatement(BiConsumer<FleetEndpoint, EndpointStatement> listener) {}
 
   /** Closes the connections to an address whose process is down. */
-  default void forget(HostPort address) {}
+  default void closeConnections(HostPort address) {}
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineReport.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineReport.java
@@ -8,7 +8,7 @@
 /**
  * An engine's report of its own state, up to some hundred milliseconds old.
  *
- * @param ordersTaken number of orders that the engine has begun since its start
+ * @param ordersStarted number of orders that the engine has begun since its start
  * @param orderInProgress whether the engine is loading or releasing layers
  * @param layers the layers that the engine holds
  * @param pace the engine's step time as a multiple of that of its kind; above 1 if it is slower
@@ -16,7 +16,7 @@
  * @param incarnation the incarnation that sent the report
  */
 public record EngineReport(
-    long ordersTaken,
+    long ordersStarted,
     boolean orderInProgress,
     Optional<LayerRange> layers,
     double pace,
@@ -24,11 +24,11 @@
     Incarnation incarnation) {
   /** Creates the report of an engine that does not report its start time. */
   public EngineReport(
-      long ordersTaken,
+      long ordersStarted,
       boolean orderInProgress,
       Optional<LayerRange> layers,
       double pace,
       ImmutableMap<String, HostPort> stalledOn) {
-    this(ordersTaken, orderInProgress, layers, pace, stalledOn, Incarnation.UNKNOWN);
+    this(ordersStarted, orderInProgress, layers, pace, stalledOn, Incarnation.UNKNOWN);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementController.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementController.java
@@ -370,12 +370,12 @@
       assignment.callOpen = false;
       return;
     }
-    OrderGuard guard = new OrderGuard(actingAs.getAsLong(), report.ordersTaken());
+    OrderGuard guard = new OrderGuard(actingAs.getAsLong(), report.ordersStarted());
     long orderedAt = now();
     assignment.sent = true;
     fleet.signals().recordCall(engine, CallPurpose.PLACEMENT);
     Async.onDone(
-        control.hold(engine.endpoint(), assignment.layers, guard),
+        control.assignLayers(engine.endpoint(), assignment.layers, guard),
         clock,
         (outcome, failure) -> {
           assignment.callOpen = false;
