--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Fleet.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Fleet.java
@@ -26,12 +26,12 @@
 /**
  * The table of all endpoints.
  *
- * <p>An endpoint that is no longer listed gets no new work immediately. The exception is an outage
- * of the store: entries lapse while endpoints cannot renew them and reappear soon after the outage,
- * so missing endpoints are retained for a grace period. During an outage a node cannot tell whether
- * the store is down or only unreachable from this node. Afterwards the list shows it: an entry that
- * survived the outage proves that the store kept running without this node, so every missing
- * endpoint has left.
+ * <p>An endpoint that is no longer listed immediately stops getting new work. The exception is an
+ * outage of the store: entries lapse while endpoints cannot renew them and reappear soon after the
+ * outage, so missing endpoints are retained for a grace period. During an outage a node cannot
+ * determine whether the store is down or only unreachable from this node. Afterwards the list shows
+ * it: an entry that survived the outage proves that the store kept running without this node, so
+ * every missing endpoint has left.
  *
  * <p>Everything known about an endpoint applies to one incarnation of its process, and is discarded
  * when a later incarnation appears under the same ID. Information about a former incarnation that
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/TrackedEndpoint.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/TrackedEndpoint.java
@@ -279,8 +279,8 @@
    * indicate about its peers' streams.
    *
    * @param peers number of nodes that prefer the same engines and report their load
-   * @param kept fraction, from 0 to 1, of the requests this node started earlier whose counterparts
-   *     the peers have not reported yet
+   * @param unreportedFraction fraction, from 0 to 1, of the requests this node started earlier
+   *     whose counterparts the peers have not reported yet
    */
   public void setSimilarPeers(double peers, double unreportedFraction) {
     similarPeers = peers;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/load/LoadExchange.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/load/LoadExchange.java
@@ -54,9 +54,9 @@
   private static final Duration MIN_WAKE_INTERVAL = Duration.ofMillis(100);
 
   /**
-   * In a large fleet, a round takes most of a second, and a node wakes up only this often per
-   * round. Known loads get older by an eighth of a round on average, and a node among 64 wakes up 6
-   * instead of 10 times a second.
+   * Maximum number of wake-ups per round in a large fleet, where a round takes most of a second.
+   * Known loads are an eighth of a round older on average, and a node among 64 wakes up 6 instead
+   * of 10 times a second.
    */
   private static final int WAKES_PER_ROUND = 4;
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/load/RateLimitShares.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/load/RateLimitShares.java
@@ -46,8 +46,8 @@
   private static final double MIN_PER_SECOND = 0.2;
 
   /**
-   * Age of the last announcement after which the sharing nodes are assumed to have no requests for
-   * the endpoint.
+   * Time without an announcement to any node after which the other nodes also send requests: the
+   * sharing nodes may have none for the endpoint.
    */
   private static final Duration LIMIT_EXPIRY = Duration.ofSeconds(10);
 
