--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FailoverTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FailoverTest.java
@@ -19,8 +19,8 @@
 final class FailoverTest {
   private final ForwardingFixture node = new ForwardingFixture();
 
-  private void fillCapacity(FleetEndpoint other) {
-    node.fleet.at(ForwardingFixture.MODEL, other.address()).orElseThrow().peersLoad(100, 1e9, 1);
+private void fillCapacity(FleetEndpoint other){
+node.fleet.find(ForwardingFixture.MODEL,other.address()).orElseThrow().setPeerLoad(100,1e9,1);
   }
 
   private void setRetryBudget(double reserve) {
@@ -31,7 +31,7 @@
 
   private void avoid(FleetEndpoint engine) {
     node.fleet
-        .at(ForwardingFixture.MODEL, engine.address())
+        .find(ForwardingFixture.MODEL, engine.address())
         .orElseThrow()
         .avoidUntil(node.now() + Duration.ofSeconds(20).toNanos());
   }
@@ -61,7 +61,7 @@
   }
 
   private boolean suspected(FleetEndpoint engine) {
-    return node.fleet.at(ForwardingFixture.MODEL, engine.address()).orElseThrow().suspected();
+    return node.fleet.find(ForwardingFixture.MODEL, engine.address()).orElseThrow().suspected();
   }
 
   private SentAttempt startStream(String path) {
@@ -158,11 +158,11 @@
     for (int i = 0; i < 4; i++) {
       streams.add(startStream("/stream/" + i));
     }
-    registerFullEngines();
-    setRetryBudget(1);
-    silence(engine);
-    assertEquals(4, node.sent.size(), "sends before there is capacity");
-    node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
+registerFullEngines();
+setRetryBudget(1);
+silence(engine);
+assertEquals(4,node.sent.size(),"sends before there is capacity");
+node.fleet.all().forEach(any->any.setPeerLoad(0,0,1));
     node.advance(40);
     assertEquals(5, node.sent.size(), "one stream failed over");
     assertTrue(waitMillisOfNewRequest() <= 100, "a new request waited while there was capacity");
@@ -324,7 +324,7 @@
     avoid(engine);
     node.advance(500);
     assertFalse(suspected(engine));
-    node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
+    node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
     node.advance(100);
     assertEquals(1, node.sent.size(), "sends");
     assertFalse(running.cancelled, "cancelled");
@@ -342,9 +342,9 @@
     silence(engine);
     assertEquals(3, node.sent.size());
     // Exhausts the budget, as failures of other requests would.
-    setRetryBudget(0);
-    node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
-    assertTrue(waitMillisOfNewRequest() <= 100, "a new request waited while there was capacity");
+setRetryBudget(0);
+node.fleet.all().forEach(any->any.setPeerLoad(0,0,1));
+assertTrue(waitMillisOfNewRequest()<=100,"a new request waited while there was capacity");
   }
 
   // The same on a node with a high recent start rate.
@@ -358,11 +358,11 @@
     for (int i = 0; i < 4; i++) {
       startStream("/stream/" + i);
     }
-    registerFullEngines();
-    setRetryBudget(1);
-    silence(engine);
-    assertEquals(44, node.sent.size(), "sends before there is capacity");
-    node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
+registerFullEngines();
+setRetryBudget(1);
+silence(engine);
+assertEquals(44,node.sent.size(),"sends before there is capacity");
+node.fleet.all().forEach(any->any.setPeerLoad(0,0,1));
     node.advance(40);
     assertEquals(45, node.sent.size(), "one stream failed over");
     assertTrue(waitMillisOfNewRequest() <= 100, "a new request waited while there was capacity");
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
@@ -252,12 +252,12 @@
   private void registerFullEngines() {
     for (int i = 0; i < 3; i++) {
       FleetEndpoint engine = node.engine(i + 1, i * 27, Math.min(80, (i + 1) * 27));
-      node.fleet.at(ForwardingFixture.MODEL, engine.address()).get().peersLoad(100, 1e9, 1);
+      node.fleet.find(ForwardingFixture.MODEL, engine.address()).get().setPeerLoad(100, 1e9, 1);
     }
   }
 
-  private void freeEngines() {
-    node.fleet.all().forEach(engine -> engine.peersLoad(0, 0, 1));
+private void freeEngines(){
+node.fleet.all().forEach(engine->engine.setPeerLoad(0,0,1));
   }
 
   @Test
@@ -357,7 +357,7 @@
       node.advance(180);
       node.lastAttempt().event(id);
     }
-    assertEquals(5, node.fleet.of(ForwardingFixture.MODEL).get(0).pace());
+    assertEquals(5, node.fleet.listed(ForwardingFixture.MODEL).get(0).pace());
   }
 
   /** The head and the first event arrive together, which must not make an engine look fast. */
@@ -375,7 +375,7 @@
       sent.event(2);
       sent.event(3);
     }
-    assertEquals(12, node.fleet.of(ForwardingFixture.MODEL).get(0).pace());
+    assertEquals(12, node.fleet.listed(ForwardingFixture.MODEL).get(0).pace());
   }
 
   /** Moving a stream would process its prompt again, without a proven benefit. */
@@ -528,10 +528,10 @@
   void nonResumableStreamFailsOverIfEngineDiesBeforeConnecting() {
     node.engine(1, 0, 80);
     node.engine(2, 0, 80);
-    node.request("/once/x");
-    HostPort dead = node.lastAttempt().attempt.endpoint().address();
-    node.lastAttempt().arrived = false;
-    node.fleet.suspect(node.fleet.at(ForwardingFixture.MODEL, dead).get(), "test");
+node.request("/once/x");
+HostPort dead=node.lastAttempt().attempt.endpoint().address();
+node.lastAttempt().arrived=false;
+node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL,dead).get(),"test");
     assertEquals(2, node.sent.size());
     assertTrue(node.sent.get(0).cancelled);
   }
@@ -544,9 +544,9 @@
     }
     RecordedResponse response = node.request("/stream/x");
     for (int dead = 1; dead <= 3; dead++) {
-      node.lastAttempt().arrived = false;
-      HostPort address = node.lastAttempt().attempt.endpoint().address();
-      node.fleet.suspect(node.fleet.at(ForwardingFixture.MODEL, address).get(), "test");
+node.lastAttempt().arrived=false;
+HostPort address=node.lastAttempt().attempt.endpoint().address();
+node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL,address).get(),"test");
     }
     assertEquals(3, node.sent.size());
     assertEquals(Verdict.NOT_RUN, response.refusal.get().verdict());
@@ -564,6 +564,6 @@
   }
 
   private void occupy(FleetEndpoint engine) {
-    node.fleet.at(ForwardingFixture.MODEL, engine.address()).get().reserve(10_000);
+    node.fleet.find(ForwardingFixture.MODEL, engine.address()).get().reserve(10_000);
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
@@ -24,8 +24,8 @@
   /** States a backoff in the response to a call that is not a forwarded request. */
   private void backOff(FleetEndpoint endpoint, Duration length) {
     node.fleet
-        .statements()
-        .answeredCall(endpoint, EndpointStatement.NONE.withBackoff(StatedBackoff.of(length)));
+        .signals()
+        .recordCallAnswer(endpoint, EndpointStatement.NONE.withBackoff(StatedBackoff.of(length)));
   }
 
   private void reject(Duration length) {
@@ -148,9 +148,9 @@
   @Test
   void restartedEndpointThatHadLeftGetsRequests() {
     FleetEndpoint only = node.replica(1);
-    node.fleet.statements().answeredCall(only, EndpointStatement.NONE.thatLeaves());
-    node.restart(only);
-    node.request("/safe/x");
+node.fleet.signals().recordCallAnswer(only,EndpointStatement.NONE.thatLeaves());
+node.restart(only);
+node.request("/safe/x");
     assertEquals(1, node.sent.size());
   }
 
@@ -174,8 +174,8 @@
     }
     node.engine(3, 0, 40);
     node.engine(4, 40, 80);
-    backOff(first, Duration.ofSeconds(10));
-    node.fleet.suspect(node.fleet.at(ForwardingFixture.MODEL, second.address()).get(), "silent");
+backOff(first,Duration.ofSeconds(10));
+node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL,second.address()).get(),"silent");
     node.advance(1000);
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RunningAttemptTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RunningAttemptTest.java
@@ -95,7 +95,7 @@
   void streamThatMakesProgressStaysOnSuspectedEngine() {
     node.control.dead.clear();
     node.engine(2, 0, 80);
-    node.fleet.suspect(node.fleet.at(ForwardingFixture.MODEL, engine.address()).get(), "test");
+    node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL, engine.address()).get(), "test");
     for (int id = 2; id <= 3; id++) {
       node.advance(200);
       running.event(id);
@@ -124,7 +124,7 @@
     fillCapacity(node.engine(3, 40, 80));
     node.advance(1000);
     assertEquals(1, node.sent.size());
-    node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
+    node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
     node.advance(300);
     assertEquals("e2", node.lastAttempt().attempt.endpoint().id());
     assertAbandonedOnceReplacementResponds();
@@ -137,7 +137,7 @@
     fillCapacity(node.engine(3, 40, 80));
     node.advance(400);
     running.event(2);
-    node.fleet.all().forEach(any -> any.peersLoad(0, 0, 1));
+    node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
     node.advance(100);
     assertEquals(1, node.sent.size());
     running.event(3);
@@ -257,8 +257,8 @@
   }
 
   /** Lets requests of other nodes use all memory of an engine. */
-  private void fillCapacity(FleetEndpoint other) {
-    node.fleet.at(ForwardingFixture.MODEL, other.address()).orElseThrow().peersLoad(100, 1e9, 1);
+private void fillCapacity(FleetEndpoint other){
+node.fleet.find(ForwardingFixture.MODEL,other.address()).orElseThrow().setPeerLoad(100,1e9,1);
   }
 
   private void exhaustRetryBudget() {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CapacityQueue.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CapacityQueue.java
@@ -10,7 +10,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.OptionalLong;
-import org.vaneworks.coordination.fleet.Openings;
+import org.vaneworks.coordination.fleet.RequestSchedule;
 
 /**
  * Queue of requests that wait for capacity at the endpoints of one service.
@@ -62,7 +62,7 @@
     }
 
     /** Returns when the endpoints of the request accept requests again, capacity aside. */
-    Openings openings();
+RequestSchedule openings();
 
     /** Refuses the request: no capacity is expected in time. */
     void refuse();
@@ -206,11 +206,11 @@
 
   private boolean cannotBeServed(Entry entry, int ahead) {
     Waiter waiter = entry.waiter();
-    Openings openings = waiter.openings();
-    if (!openings.any()) {
-      return !waiter.continues() || now() + waitBehind(ahead) > waiter.waitsUntil();
+RequestSchedule openings=waiter.openings();
+if(!openings.allowsAny()){
+return!waiter.continues()||now()+waitBehind(ahead)>waiter.waitsUntil();
     }
-    double expected = Math.max(now() + waitBehind(ahead), openings.at(ahead, now()));
+double expected=Math.max(now()+waitBehind(ahead),openings.timeOf(ahead,now()));
     return expected > waiter.waitsUntil();
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.vaneworks.coordination.fleet.CallPurpose;
-import org.vaneworks.coordination.fleet.Openings;
+import org.vaneworks.coordination.fleet.RequestSchedule;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 import org.vaneworks.coordination.relay.EnginePath;
 import org.vaneworks.coordination.relay.PathPart;
@@ -190,18 +190,18 @@
 
   private void noteSend(TrackedEndpoint endpoint) {
     CallPurpose purpose = tried.isEmpty() ? CallPurpose.FIRST_SEND : CallPurpose.REPEATED_SEND;
-    context.fleet().statements().noteCall(endpoint, purpose);
+    context.fleet().signals().recordCall(endpoint, purpose);
   }
 
   private void noteLaterPart(TrackedEndpoint engine) {
-    context.fleet().statements().noteCall(engine, CallPurpose.LATER_PART);
+    context.fleet().signals().recordCall(engine, CallPurpose.LATER_HOP);
   }
 
   /** Returns when the endpoints of the service accept requests again, capacity aside. */
-  Openings openings() {
+RequestSchedule openings(){
     return model
-        .map(profile -> context.fleet().openings(service, profile.layers()))
-        .orElseGet(() -> context.fleet().openings(service));
+        .map(profile -> context.fleet().requestSchedule(service, profile.layers()))
+        .orElseGet(() -> context.fleet().requestSchedule(service));
   }
 
   /** Returns an alternative path with the same first part that avoids the given engines. */
@@ -212,7 +212,7 @@
 
   /** Returns the engine of the same service at the given address. */
   Optional<TrackedEndpoint> engineAt(HostPort address) {
-    return context.fleet().at(service, address);
+    return context.fleet().find(service, address);
   }
 
   /** Avoids the endpoint that prevented the request from running for a while, and returns it. */
@@ -221,11 +221,11 @@
     boolean misdirected = refused.status() == MISDIRECTED;
     Duration pause = misdirected ? MISDIRECTED_BACKOFF : OVERLOAD_BACKOFF;
     obstacle.avoidUntil(now() + pause.toNanos());
-    if (misdirected && obstacle.endpoint().incarnation().isTold()) {
+if(misdirected&&obstacle.endpoint().incarnation().isKnown()){
       // The engine may have restarted without layers; its report shows that before the list does.
       context.health().check(obstacle);
     }
-    obstacle.noteShortage(now());
+    obstacle.recordShortage(now());
     return obstacle;
   }
 
@@ -276,7 +276,7 @@
     Optional<TrackedEndpoint> best = Optional.empty();
     double bestLoad = Double.MAX_VALUE;
     for (TrackedEndpoint replica : context.fleet().usable(service)) {
-      double load = replica.requestsOfAll() + context.random().nextDouble();
+      double load = replica.totalRequests() + context.random().nextDouble();
       load += tried.contains(replica) ? replica.endpoint().slots() : 0;
       if (load < bestLoad) {
         best = Optional.of(replica);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
@@ -6,8 +6,8 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.vaneworks.coordination.fleet.NobodyListensException;
-import org.vaneworks.coordination.fleet.Openings;
+import org.vaneworks.coordination.fleet.ConnectionRefusedException;
+import org.vaneworks.coordination.fleet.RequestSchedule;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 import org.vaneworks.coordination.forwarding.Failover.Trigger;
 import org.vaneworks.coordination.relay.EnginePath;
@@ -160,8 +160,8 @@
     }
 
     @Override
-    public Openings openings() {
-      return selector.openings();
+public RequestSchedule openings(){
+return selector.openings();
     }
 
     @Override
@@ -286,8 +286,8 @@
 
     @Override
     public void end() {
-      if (isOrBecomesCurrent()) {
-        running.endpoint().noteSuccess();
+if(isOrBecomesCurrent()){
+running.endpoint().recordSuccess();
         finish();
       }
     }
@@ -314,7 +314,7 @@
   /** Records the endpoint's statement, unless another endpoint may have responded in its place. */
   private void noteStatement(ResponseHead head, TrackedEndpoint endpoint) {
     if (head.matches() && head.status() != MISDIRECTED) {
-      context.fleet().statements().answered(endpoint, head.statement());
+      context.fleet().signals().recordAnswer(endpoint, head.statement());
     }
   }
 
@@ -390,8 +390,8 @@
       noteLost(endpoint);
     }
     noteFailure(cause, endpoint);
-    if (!selector.runsOnEngines() && (endpoint.noteFailure() > 1 || neverSent)) {
-      endpoint.avoidUntil(now() + FAILED_REPLICA_PAUSE.toNanos());
+if(!selector.runsOnEngines()&&(endpoint.recordFailure()>1||neverSent)){
+endpoint.avoidUntil(now()+FAILED_REPLICA_PAUSE.toNanos());
     }
     attemptEnded(
         neverSent ? Verdict.NOT_RUN : Verdict.MAY_HAVE_RUN,
@@ -400,11 +400,11 @@
   }
 
   private void noteFailure(Throwable cause, TrackedEndpoint endpoint) {
-    if (cause instanceof NobodyListensException) {
-      context.fleet().noteNobodyListens(endpoint);
+    if (cause instanceof ConnectionRefusedException) {
+      context.fleet().recordConnectionRefused(endpoint);
     }
-    if (selector.runsOnEngines()) {
-      context.health().checkAfterLoss(endpoint);
+if(selector.runsOnEngines()){
+context.health().checkAfterDisconnect(endpoint);
     }
   }
 
@@ -571,9 +571,9 @@
     if (!uses(engine)) {
       return;
     }
-    boolean delivers = headSent && progress.hasRecentProgress();
-    if (engine.processGone() || !delivers) {
-      bypass(engine);
+boolean delivers=headSent&&progress.hasRecentProgress();
+if(engine.processDown()||!delivers){
+bypass(engine);
     }
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
@@ -15,7 +15,7 @@
 import java.util.function.Supplier;
 import org.vaneworks.coordination.fleet.EngineControl;
 import org.vaneworks.coordination.fleet.Fleet;
-import org.vaneworks.coordination.fleet.HealthWatch;
+import org.vaneworks.coordination.fleet.HealthChecker;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 import org.vaneworks.coordination.quarantine.SharedQuarantine;
 import org.vaneworks.coordination.relay.PathPlanner;
@@ -75,11 +75,8 @@
                     .forEach(forwarded -> forwarded.engineRecovered(engine)));
     context
         .fleet()
-        .onEnd(
-            endpoint ->
-                ImmutableList.copyOf(inFlight)
-                    .forEach(forwarded -> forwarded.endpointEnded(endpoint)));
-    context.fleet().onLeaving(this::migrateFrom);
+.onIncarnationEnd(endpoint->ImmutableList.copyOf(inFlight).forEach(forwarded->forwarded.endpointEnded(endpoint)));
+context.fleet().onLeaving(this::migrateFrom);
     context
         .quarantine()
         .onHold(
@@ -102,7 +99,7 @@
       Executor clock,
       Random random,
       Fleet fleet,
-      HealthWatch health,
+      HealthChecker health,
       EngineControl control,
       EndpointTransport transport,
       SharedQuarantine quarantine,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
@@ -117,7 +117,7 @@
       if (!shortPause && !recentlyFast) {
         context.health().checkPace(part.engine());
       }
-      part.engine().noteProgress(now, fast);
+      part.engine().recordProgress(now, fast);
     }
   }
 
