--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/DaemonSettings.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/DaemonSettings.java
@@ -117,7 +117,7 @@
 
   private static EndpointLimits endpointLimits(FieldReader fields) {
     EndpointLimits usual = EndpointLimits.defaults();
-    Duration least = millis(fields, "leastProgressMs", usual.leastProgress());
+    Duration least = millis(fields, "leastProgressMs", usual.minProgressDeadline());
     Duration timeout = millis(fields, "stepTimeoutMs", usual.stepTimeout());
     if (least.compareTo(timeout) > 0) {
       fields.reject("leastProgressMs", "must not be over stepTimeoutMs");
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/SharedEnginesModel.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/SharedEnginesModel.java
@@ -14,7 +14,7 @@
 import java.util.Random;
 import org.vaneworks.coordination.fleet.FleetEndpoint;
 import org.vaneworks.coordination.load.LoadReport;
-import org.vaneworks.coordination.placement.Holding;
+import org.vaneworks.coordination.placement.EngineSnapshot;
 import org.vaneworks.coordination.placement.PlacementPlanner;
 import org.vaneworks.coordination.relay.EnginePath;
 import org.vaneworks.coordination.relay.PathPart;
@@ -102,7 +102,7 @@
   }
 
   private ImmutableList<FleetEndpoint> placed() {
-    List<Holding> holdings = new ArrayList<>();
+    List<EngineSnapshot> holdings = new ArrayList<>();
     for (FleetShape.DataCentre centre : shape.dataCentres()) {
       centre
           .engines()
@@ -111,13 +111,14 @@
                 AcceleratorProfile accelerator = model.accelerator(kind).orElseThrow();
                 for (int i = 0; i < count; i++) {
                   String id = centre.name() + "-" + kind + "-" + i;
-                  holdings.add(new Holding(id, centre.name(), accelerator, Optional.empty(), true));
+                  holdings.add(
+                      new EngineSnapshot(id, centre.name(), accelerator, Optional.empty(), true));
                 }
               });
     }
     ImmutableMap<String, LayerRange> plan = PlacementPlanner.of(model).plan(holdings, id -> 0);
     ImmutableList.Builder<FleetEndpoint> listed = ImmutableList.builder();
-    for (Holding holding : holdings) {
+    for (EngineSnapshot holding : holdings) {
       Optional<LayerRange> layers = Optional.ofNullable(plan.get(holding.id()));
       HostPort address = new HostPort("10.200.0.1", 1000 + engines.size());
       String kind = holding.accelerator().name();
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/endpoints/ServiceRouterTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/endpoints/ServiceRouterTest.java
@@ -36,7 +36,10 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Which endpoint gets a call of a plain service while its health is in doubt. */
+/**
+ * Tests which endpoint of a plain service {@link ServiceRouter} calls after failed calls and status
+ * calls.
+ */
 final class ServiceRouterTest {
   private static final ServiceCall CALL = new ServiceCall("POST", "/confirm", "{}", "r1");
   private static final Duration LONGEST_EJECTION = Duration.ofSeconds(20);
@@ -45,14 +48,14 @@
   private final Counters counters = Counters.in(new SimpleMeterRegistry());
   private final EndpointTable table =
       EndpointTable.create(executor, EndpointLimits.defaults(), counters, () -> 1);
-  private final Invocations client = new Invocations();
+  private final PendingCallsClient client = new PendingCallsClient();
   private final ServiceRouter router =
       ServiceRouter.create(
           executor, table, client, RetryBudget.of(0.2, 10), counters, new Random(1));
   private final EndpointState only = table.add(endpoint("records"));
 
   @Test
-  void endpointThatAnsweredAfterAnEjectionTakesSeveralCallsAtOnce() {
+  void endpointThatAnsweredAfterAnEjectionGetsConcurrentCalls() {
     table.eject(only, "lost");
     executor.advance(LONGEST_EJECTION);
     statusOf(only);
@@ -63,7 +66,7 @@
     CompletableFuture<ServiceReply> first = call();
     CompletableFuture<ServiceReply> second = call();
 
-    assertEquals(2, client.waiting.size());
+    assertEquals(2, client.pending.size());
     client.answerNext();
     client.answerNext();
     assertEquals(200, first.join().status());
@@ -71,20 +74,20 @@
   }
 
   @Test
-  void onlyEndpointStaysInUseAfterOneLateStatus() {
-    table.doubt(only);
+  void onlyEndpointIsUsedAfterOneFailedStatusCall() {
+    table.recordStatusFailure(only);
 
     CompletableFuture<ServiceReply> reply = call();
 
-    assertEquals(1, client.waiting.size());
+    assertEquals(1, client.pending.size());
     client.answerNext();
     assertEquals(200, reply.join().status());
   }
 
   @Test
-  void anotherEndpointIsPreferredAfterOneLateStatus() {
+  void anotherEndpointIsPreferredAfterOneFailedStatusCall() {
     EndpointState other = table.add(endpoint("other"));
-    table.doubt(only);
+    table.recordStatusFailure(only);
 
     List<CompletableFuture<ServiceReply>> replies = List.of(call(), call(), call(), call());
 
@@ -93,33 +96,33 @@
   }
 
   @Test
-  void onlyEndpointIsRefusedAfterTwoLateStatusesInARow() {
-    table.doubt(only);
-    table.doubt(only);
+  void callIsRefusedAfterTwoFailedStatusCallsInARow() {
+    table.recordStatusFailure(only);
+    table.recordStatusFailure(only);
 
     assertRefusedAsNotRun(call());
   }
 
   @Test
-  void onlyEndpointIsRefusedAfterALostCall() {
+  void callIsRefusedAfterALostCallToTheOnlyEndpoint() {
     table.eject(only, "lost");
 
     assertRefusedAsNotRun(call());
   }
 
   @Test
-  void leavingEndpointIsRefusedAlsoWhenItIsTheOnlyOne() {
-    table.doubt(only);
-    table.leaving(only, "status");
+  void callIsRefusedIfTheOnlyEndpointIsLeaving() {
+    table.recordStatusFailure(only);
+    table.markLeaving(only, "status");
 
     assertRefusedAsNotRun(call());
   }
 
   @Test
-  void lostCallAfterALateStatusEndsTheUseOfTheOnlyEndpoint() {
-    table.doubt(only);
+  void callIsRefusedAfterAFailedStatusCallAndALostCall() {
+    table.recordStatusFailure(only);
     CompletableFuture<ServiceReply> lost = call();
-    client.waiting.remove().completeExceptionally(mayHaveRun());
+    client.pending.remove().completeExceptionally(mayHaveRun());
     executor.runDue();
     assertTrue(lost.isCompletedExceptionally());
 
@@ -134,13 +137,12 @@
   }
 
   private void statusOf(EndpointState state) {
-    state.statusAnswered(
-        new EndpointStatus(state.endpoint(), false, 0, 0, 1), Duration.ofMillis(1));
+    state.recordStatus(new EndpointStatus(state.endpoint(), false, 0, 0, 1), Duration.ofMillis(1));
   }
 
   private void assertRefusedAsNotRun(CompletableFuture<ServiceReply> reply) {
     assertTrue(reply.isCompletedExceptionally());
-    assertTrue(client.waiting.isEmpty());
+    assertTrue(client.pending.isEmpty());
     Refusal refusal = RefusalException.refusalOf(reply.handle((answer, failure) -> failure).join());
     assertEquals(Reason.NO_ENDPOINT, refusal.reason());
     assertEquals(Verdict.NOT_RUN, refusal.verdict());
@@ -162,19 +164,19 @@
         false);
   }
 
-  /** Holds each call until the test answers it. */
-  private final class Invocations implements EndpointClient {
-    private final Queue<CompletableFuture<ServiceReply>> waiting = new ArrayDeque<>();
+  /** Keeps each call pending until the test answers it. */
+  private final class PendingCallsClient implements EndpointClient {
+    private final Queue<CompletableFuture<ServiceReply>> pending = new ArrayDeque<>();
 
     void answerNext() {
-      waiting.remove().complete(new ServiceReply(200, "application/json", "{}"));
+      pending.remove().complete(new ServiceReply(200, "application/json", "{}"));
       executor.runDue();
     }
 
     @Override
     public CompletableFuture<ServiceReply> invoke(Endpoint endpoint, ServiceCall call) {
       CompletableFuture<ServiceReply> reply = new CompletableFuture<>();
-      waiting.add(reply);
+      pending.add(reply);
       return reply;
     }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/endpoints/package-info.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/endpoints/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of what a node believes of endpoints, and which of them gets a call. */
+/** Tests of the health of endpoints and of the choice of an endpoint for a call. */
 package org.vaneworks.tests.endpoints;
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/DoubtedEngineStreamTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/DoubtedEngineStreamTest.java
@@ -36,7 +36,7 @@
   @Test
   void onlyEngineStaysInUseAfterOneLateStatus() {
     fleet.settle();
-    table().doubt(stateOf(only));
+    table().recordStatusFailure(stateOf(only));
     assertDeliveredWhole(ask());
   }
 
@@ -45,7 +45,7 @@
   void anotherEngineIsPreferredAfterOneLateStatus() {
     EngineCore other = fleet.addEngine("a2", 0, LAYERS, STEP_MILLIS);
     fleet.settle();
-    table().doubt(stateOf(only));
+    table().recordStatusFailure(stateOf(only));
     assertDeliveredWhole(ask());
     assertTrue(only.ledger().isEmpty());
     assertEquals(TOKENS, other.ledger().size());
@@ -57,7 +57,7 @@
     EngineCore lower = fleet.addEngine("a2", 0, LAYERS / 2, 10 * STEP_MILLIS);
     EngineCore upper = fleet.addEngine("a3", LAYERS / 2, LAYERS, 10 * STEP_MILLIS);
     fleet.settle();
-    table().doubt(stateOf(only));
+    table().recordStatusFailure(stateOf(only));
     assertDeliveredWhole(ask());
     assertTrue(only.ledger().isEmpty());
     assertEquals(2 * TOKENS, lower.ledger().size() + upper.ledger().size());
@@ -67,8 +67,8 @@
   @Test
   void onlyEngineIsRefusedAfterTwoLateStatusesInARow() {
     fleet.settle();
-    table().doubt(stateOf(only));
-    table().doubt(stateOf(only));
+    table().recordStatusFailure(stateOf(only));
+    table().recordStatusFailure(stateOf(only));
     assertRefusedAsNotRun(ask());
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/RunningStreamTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/RunningStreamTest.java
@@ -101,7 +101,7 @@
     boolean isOnFirst = stateOf(first).inFlight() > 0;
     EngineCore present = isOnFirst ? first : other;
     EngineCore doubted = isOnFirst ? other : first;
-    fleet.node("n1").endpoints().doubt(stateOf(doubted));
+    fleet.node("n1").endpoints().recordStatusFailure(stateOf(doubted));
     int runBefore = doubted.ledger().size();
     freeze(boxOf(present));
     fleet.clock().advance(SHORT_SILENCE);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/Models.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/Models.java
@@ -4,21 +4,21 @@
 import org.vaneworks.state.entry.AcceleratorProfile;
 import org.vaneworks.state.entry.ModelProfile;
 
-/** A model of eighty layers and the accelerators that tests run it on. */
+/** Provides a model of eighty layers and accelerators to run it on. */
 public final class Models {
-  /** Large and fast. */
+  /** A large and fast accelerator. */
   public static final AcceleratorProfile LARGE = new AcceleratorProfile("large", 72_000, 2.4, 3.2);
 
-  /** In between. */
+  /** An accelerator of medium size and speed. */
   public static final AcceleratorProfile MIDDLE =
       new AcceleratorProfile("middle", 43_200, 5.6, 2.7);
 
-  /** Small and slow. */
+  /** A small and slow accelerator. */
   public static final AcceleratorProfile SMALL = new AcceleratorProfile("small", 21_600, 16, 8.2);
 
   private Models() {}
 
-  /** Returns the model. */
+  /** Returns a model of eighty layers. */
   public static ModelProfile eightyLayers() {
     return new ModelProfile(
         80,
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
@@ -35,31 +35,34 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Checks controllers against engines that check fence and count, lose answers and act late. */
+/**
+ * Tests for {@link PlacementController}, with engines that check fence and order count, lose
+ * answers or execute orders late.
+ */
 final class PlacementControllerTest {
 
-  /** Engines as the platform describes them; the list shows their layers after a load. */
+  /** Simulates engines: the list of endpoints shows their layers after loading. */
   private final class Engines implements EngineControl {
     final Map<String, Long> orders = new HashMap<>();
     final Map<String, Long> fences = new HashMap<>();
     final Map<String, Incarnation> startedAt = new HashMap<>();
     final Map<String, Boolean> loading = new HashMap<>();
     final List<String> loads = new ArrayList<>();
-    Duration load = Duration.ofMillis(500);
+    Duration loadTime = Duration.ofMillis(500);
     boolean checksFences = true;
-    boolean silent;
-    boolean wantsNoCalls;
+    boolean dropsAnswers;
+    boolean refusesCalls;
     int reports;
-    int refusals;
-    Duration late = Duration.ZERO;
+    int ordersToRefuse;
+    Duration executionDelay = Duration.ZERO;
 
     @Override
     public CompletableFuture<EngineReport> report(FleetEndpoint engine, Duration limit) {
       reports++;
-      if (wantsNoCalls) {
-        EndpointStatement said =
+      if (refusesCalls) {
+        EndpointStatement statement =
             EndpointStatement.NONE.withBackoff(StatedBackoff.of(Duration.ofSeconds(3)));
-        fleet.statements().answeredCall(engine, said);
+        fleet.statements().answeredCall(engine, statement);
         return CompletableFuture.failedFuture(new TurnedAwayException());
       }
       FleetEndpoint now = fleet.at("m", engine.address()).get().endpoint();
@@ -76,18 +79,19 @@
     @Override
     public CompletableFuture<OrderOutcome> hold(
         FleetEndpoint engine, LayerRange layers, OrderGuard guard) {
-      if (refusals > 0) {
-        refusals--;
+      if (ordersToRefuse > 0) {
+        ordersToRefuse--;
         return CompletableFuture.completedFuture(OrderOutcome.REFUSED);
       }
-      if (silent) {
-        clock.schedule(() -> take(engine, layers, guard), late.toMillis(), TimeUnit.MILLISECONDS);
+      if (dropsAnswers) {
+        clock.schedule(
+            () -> execute(engine, layers, guard), executionDelay.toMillis(), TimeUnit.MILLISECONDS);
         return CompletableFuture.failedFuture(new IllegalStateException("no answer"));
       }
-      return CompletableFuture.completedFuture(take(engine, layers, guard));
+      return CompletableFuture.completedFuture(execute(engine, layers, guard));
     }
 
-    private OrderOutcome take(FleetEndpoint engine, LayerRange layers, OrderGuard guard) {
+    private OrderOutcome execute(FleetEndpoint engine, LayerRange layers, OrderGuard guard) {
       if (checksFences && guard.fence() < fences.getOrDefault(engine.id(), 0L)) {
         return OrderOutcome.FENCED;
       }
@@ -103,7 +107,7 @@
             loading.put(engine.id(), false);
             list(engine.id(), engine.address(), Optional.of(layers));
           },
-          load.toMillis(),
+          loadTime.toMillis(),
           TimeUnit.MILLISECONDS);
       return OrderOutcome.ACCEPTED;
     }
@@ -119,7 +123,7 @@
   private final Counters counters = Counters.in(new SimpleMeterRegistry());
   private final Fleet fleet = Fleet.create(clock, counters, Duration.ofMillis(2500));
   private final Engines engines = new Engines();
-  private Duration listPause = Duration.ofMillis(500);
+  private Duration listReadInterval = Duration.ofMillis(500);
   private OptionalLong firstFence = OptionalLong.empty();
   private OptionalLong secondFence = OptionalLong.empty();
 
@@ -140,7 +144,7 @@
             engines,
             () -> Optional.of(configuration()),
             fence,
-            () -> listPause,
+            () -> listReadInterval,
             counters);
     controller.start();
     return controller;
@@ -152,7 +156,7 @@
             id, "m", address, "dc1", 134, false, layers, "large", StorePosition.START));
   }
 
-  private void enlist(int count) {
+  private void listEngines(int count) {
     for (int i = 0; i < count; i++) {
       list("e" + i, new HostPort("10.0.0." + (i + 1), 80), Optional.empty());
     }
@@ -166,12 +170,12 @@
     return fleet.holdsAll("m", 80);
   }
 
-  // Guards against a served range that is given up for a range decided while its load was under
-  // way.
+  // Guards against an engine giving up a range that it serves because a controller planned for it
+  // while its load was in progress.
   @Test
-  void engineThatLoadedWhatAnEarlierControllerOrderedIsNotOrderedOff() {
-    enlist(5);
-    engines.load = Duration.ofSeconds(4);
+  void engineThatLoadedLayersForAnEarlierControllerKeepsThem() {
+    listEngines(5);
+    engines.loadTime = Duration.ofSeconds(4);
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     advance(2000);
@@ -185,12 +189,13 @@
     assertTrue(everyLayerIsHeld());
   }
 
-  // Guards against layers that nobody serves: their only holder is ordered off for one that loads.
+  // Guards against unserved layers: the only engine that serves them was ordered to other layers
+  // while their new holder was still loading.
   @Test
-  void engineThatServesKeepsItsLayersUntilAnotherHasLoadedThem() {
+  void servingEngineKeepsItsLayersUntilAnotherHasLoadedThem() {
     list("a", new HostPort("10.0.0.1", 80), Optional.of(LayerRange.of(0, 40)));
     list("b", new HostPort("10.0.0.2", 80), Optional.of(LayerRange.of(40, 80)));
-    engines.load = Duration.ofSeconds(8);
+    engines.loadTime = Duration.ofSeconds(8);
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     list("c", new HostPort("10.0.0.3", 80), Optional.empty());
@@ -203,15 +208,16 @@
     assertEquals(List.of("c 0-40", "a 40-77"), engines.loads);
   }
 
-  // Guards against two engines that are emptied for one hole: an order counts before it is served.
+  // Guards against two engines giving up their layers for one gap: an order must count before its
+  // layers are served.
   @Test
-  void holeIsFilledOnceWhileItsFirstOrderLoads() {
+  void gapIsFilledOnceWhileTheFirstOrderIsLoading() {
     list("a", new HostPort("10.0.0.1", 80), Optional.of(LayerRange.of(0, 40)));
     list("b", new HostPort("10.0.0.2", 80), Optional.of(LayerRange.of(40, 77)));
     list("c", new HostPort("10.0.0.3", 80), Optional.of(LayerRange.of(0, 40)));
     list("d", new HostPort("10.0.0.4", 80), Optional.of(LayerRange.of(0, 40)));
     list("e", new HostPort("10.0.0.5", 80), Optional.of(LayerRange.of(65, 80)));
-    engines.load = Duration.ofSeconds(8);
+    engines.loadTime = Duration.ofSeconds(8);
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     advance(1000);
@@ -224,48 +230,49 @@
     assertTrue(everyLayerIsHeld());
   }
 
-  // Guards against layers that are given up for a hole that is closed by the time of the order.
+  // Guards against an engine giving up layers for a gap that was closed before the order was sent.
   @Test
-  void engineThatCouldNotBeOrderedKeepsItsLayersOnceTheHoleIsClosed() {
-    TrackedEndpoint silent = holeWhileEnginesWantNoCalls();
-    fleet.clear(silent);
+  void engineThatRefusedCallsKeepsItsLayersOnceTheGapIsClosed() {
+    TrackedEndpoint suspected = createGapWhileEnginesRefuseCalls();
+    fleet.clear(suspected);
     advance(10_000);
     assertEquals(List.of(), engines.loads);
   }
 
-  // Guards against a hole that stays open because the engine for it took no call at first.
+  // Guards against a gap that stays open because the engine chosen for it asked for no calls at
+  // first.
   @Test
-  void engineThatCouldNotBeOrderedIsOrderedLaterWhileTheHoleStays() {
-    holeWhileEnginesWantNoCalls();
+  void engineThatRefusedCallsIsOrderedLaterWhileTheGapRemains() {
+    createGapWhileEnginesRefuseCalls();
     advance(2200);
     assertEquals(List.of("a 37-71"), engines.loads);
   }
 
-  private TrackedEndpoint holeWhileEnginesWantNoCalls() {
+  private TrackedEndpoint createGapWhileEnginesRefuseCalls() {
     list("a", new HostPort("10.0.0.1", 80), Optional.of(LayerRange.of(0, 37)));
     list("b", new HostPort("10.0.0.2", 80), Optional.of(LayerRange.of(0, 37)));
     HostPort address = new HostPort("10.0.0.3", 80);
     list("c", address, Optional.of(LayerRange.of(37, 74)));
     list("d", new HostPort("10.0.0.4", 80), Optional.of(LayerRange.of(66, 80)));
-    engines.wantsNoCalls = true;
+    engines.refusesCalls = true;
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
-    TrackedEndpoint silent = fleet.at("m", address).get();
-    fleet.suspect(silent, "test");
+    TrackedEndpoint suspected = fleet.at("m", address).get();
+    fleet.suspect(suspected, "test");
     advance(1000);
     assertEquals(1, engines.reports);
-    engines.wantsNoCalls = false;
-    return silent;
+    engines.refusesCalls = false;
+    return suspected;
   }
 
-  // Guards against layers that nobody serves: an order under way was forgotten, and another sent.
+  // Guards against unserved layers: an order in progress was forgotten, and another one was sent.
   @Test
-  void controllerWhoseLeaseIsRenewedLateRemembersItsOrders() {
+  void controllerKeepsItsOrdersWhenItsLeaseIsRenewedLate() {
     HostPort address = new HostPort("10.0.0.1", 80);
     list("a", address, Optional.of(LayerRange.of(0, 37)));
     list("b", new HostPort("10.0.0.2", 80), Optional.of(LayerRange.of(0, 37)));
     list("c", new HostPort("10.0.0.3", 80), Optional.of(LayerRange.of(66, 80)));
-    engines.load = Duration.ofSeconds(8);
+    engines.loadTime = Duration.ofSeconds(8);
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     advance(1000);
@@ -279,8 +286,8 @@
   }
 
   @Test
-  void withoutTheLeaseNothingIsOrdered() {
-    enlist(5);
+  void nothingIsOrderedWithoutTheLease() {
+    listEngines(5);
     controller(() -> firstFence);
     advance(5000);
     assertTrue(engines.loads.isEmpty());
@@ -288,7 +295,7 @@
 
   @Test
   void eachEngineIsOrderedOnce() {
-    enlist(5);
+    listEngines(5);
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     advance(10_000);
@@ -297,42 +304,40 @@
   }
 
   @Test
-  void enginesThatWantNoCallsAreNeitherReadNorOrderedUntilTheirTimeIsOver() {
-    enlist(5);
-    engines.wantsNoCalls = true;
+  void enginesThatRefuseCallsAreNotCalledUntilTheirBackoffEnds() {
+    listEngines(5);
+    engines.refusesCalls = true;
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     advance(4000);
     assertEquals(5, engines.reports);
-    engines.wantsNoCalls = false;
+    engines.refusesCalls = false;
     advance(10_000);
     assertEquals(5, engines.loads.size());
   }
 
   @Test
-  void firstPlacementWaitsForTheNextReadOfTheList() {
-    listPause = Duration.ofMillis(1750);
+  void initialPlacementWaitsForTheNextReadOfTheList() {
+    listReadInterval = Duration.ofMillis(1750);
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     list("early", new HostPort("10.0.9.1", 80), Optional.empty());
     advance(1800);
-    enlist(5);
+    listEngines(5);
     advance(1000);
     assertTrue(engines.loads.isEmpty());
     advance(10_000);
     assertEquals(6, engines.loads.size());
   }
 
-  /**
-   * Engines come into the list over some seconds, and a read of it may bring none between others.
-   */
+  /** Engines join the list over some seconds, and a read between them may show no new one. */
   @Test
-  void firstPlacementWaitsOverOneReadThatBringsNoEngine() {
+  void initialPlacementWaitsAfterOneReadWithoutNewEngines() {
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     list("early", new HostPort("10.0.9.1", 80), Optional.empty());
     advance(1000);
-    enlist(5);
+    listEngines(5);
     advance(1000);
     assertTrue(engines.loads.isEmpty());
     advance(10_000);
@@ -340,18 +345,18 @@
   }
 
   @Test
-  void refusedOrderIsGivenAgain() {
-    enlist(5);
+  void refusedOrderIsSentAgain() {
+    listEngines(5);
     firstFence = OptionalLong.of(7);
-    engines.refusals = 5;
+    engines.ordersToRefuse = 5;
     controller(() -> firstFence);
     advance(10_000);
     assertTrue(everyLayerIsHeld());
   }
 
   @Test
-  void freshControllerReadsAndOrdersNothingThatIsDone() {
-    enlist(5);
+  void newControllerDoesNotRepeatCompletedOrders() {
+    listEngines(5);
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     advance(3000);
@@ -363,8 +368,8 @@
   }
 
   @Test
-  void controllerThatTakesOverDuringLoadsOrdersNoneTwice() {
-    enlist(5);
+  void controllerThatTakesOverDuringLoadsDoesNotRepeatOrders() {
+    listEngines(5);
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     advance(1200);
@@ -376,8 +381,8 @@
   }
 
   @Test
-  void twoControllersAtOnceDoNotUndoEachOthersWork() {
-    enlist(5);
+  void twoActiveControllersDoNotUndoEachOthersOrders() {
+    listEngines(5);
     firstFence = OptionalLong.of(7);
     secondFence = OptionalLong.of(9);
     controller(() -> firstFence);
@@ -388,23 +393,23 @@
   }
 
   @Test
-  void orderThatIsNotAnsweredAndActsLateIsTakenOnce() {
-    enlist(5);
-    engines.silent = true;
-    engines.late = Duration.ofMillis(3000);
+  void unansweredOrderThatIsExecutedLateTakesEffectOnce() {
+    listEngines(5);
+    engines.dropsAnswers = true;
+    engines.executionDelay = Duration.ofMillis(3000);
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     advance(2000);
-    engines.silent = false;
+    engines.dropsAnswers = false;
     advance(15_000);
     assertTrue(everyLayerIsHeld());
     assertEquals(5, engines.loads.size());
   }
 
   @Test
-  void withoutFencesAtTheEnginesTwoControllersDoNotUndoEachOthersWork() {
+  void withoutFenceChecksTwoControllersDoNotUndoEachOthersOrders() {
     engines.checksFences = false;
-    enlist(5);
+    listEngines(5);
     firstFence = OptionalLong.of(7);
     secondFence = OptionalLong.of(9);
     controller(() -> firstFence);
@@ -415,30 +420,30 @@
   }
 
   @Test
-  void withoutFencesAtTheEnginesALateOrderOfAnEarlierControllerIsNotTaken() {
+  void withoutFenceChecksALateOrderOfAnEarlierControllerIsRejected() {
     engines.checksFences = false;
-    enlist(5);
-    engines.silent = true;
-    engines.late = Duration.ofMillis(4000);
+    listEngines(5);
+    engines.dropsAnswers = true;
+    engines.executionDelay = Duration.ofMillis(4000);
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     advance(1200);
-    engines.silent = false;
+    engines.dropsAnswers = false;
     firstFence = OptionalLong.empty();
     secondFence = OptionalLong.of(9);
     controller(() -> secondFence);
     advance(2500);
-    List<String> loadsOfTheSecond = List.copyOf(engines.loads);
-    assertEquals(5, loadsOfTheSecond.size());
+    List<String> loadsOfSecondController = List.copyOf(engines.loads);
+    assertEquals(5, loadsOfSecondController.size());
     advance(10_000);
-    assertEquals(loadsOfTheSecond, engines.loads);
+    assertEquals(loadsOfSecondController, engines.loads);
     assertTrue(everyLayerIsHeld());
   }
 
   @Test
-  void withoutFencesAtTheEnginesAControllerThatWakesUndoesNothing() {
+  void withoutFenceChecksAResumedControllerUndoesNothing() {
     engines.checksFences = false;
-    enlist(5);
+    listEngines(5);
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     advance(700);
@@ -447,7 +452,7 @@
     controller(() -> secondFence);
     advance(5000);
     List<String> loads = List.copyOf(engines.loads);
-    // It still believes that it holds the lease.
+    // The first controller still assumes that it holds the lease.
     firstFence = OptionalLong.of(7);
     advance(10_000);
     assertEquals(loads, engines.loads);
@@ -455,10 +460,10 @@
   }
 
   @Test
-  void engineThatWaitsForItsRequestsGetsNoOtherOrderMeanwhile() {
-    enlist(5);
+  void engineThatWaitsForItsRequestsGetsNoOtherOrder() {
+    listEngines(5);
     firstFence = OptionalLong.of(7);
-    engines.load = Duration.ofSeconds(40);
+    engines.loadTime = Duration.ofSeconds(40);
     controller(() -> firstFence);
     advance(39_000);
     assertEquals(5, engines.loads.size());
@@ -468,8 +473,8 @@
   }
 
   @Test
-  void restartedEngineIsFilledAgain() {
-    enlist(5);
+  void restartedEngineIsOrderedToHoldLayersAgain() {
+    listEngines(5);
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
     advance(5000);
@@ -481,10 +486,10 @@
   }
 
   /**
-   * An engine starts again, empty, between the decision and the read that goes before its order.
+   * An engine restarts without layers between the decision and the read that precedes its order.
    */
   @Test
-  void orderDecidedForAFormerRunIsNotGivenToTheNext() {
+  void orderDecidedForAnEarlierIncarnationIsNotSentToTheNext() {
     Incarnation first = Incarnation.startedAt(1000);
     HostPort address = new HostPort("10.0.0.1", 80);
     fleet.put(
@@ -502,11 +507,11 @@
     TrackedEndpoint former = fleet.at("m", address).get();
     engines.startedAt.put("e0", Incarnation.startedAt(2000));
     controller(() -> OptionalLong.of(5));
-    int ticksOfTheFormer = 0;
+    int ticksUntilEnded = 0;
     while (!former.hasEnded()) {
       advance(200);
-      ticksOfTheFormer++;
-      assertTrue(ticksOfTheFormer < 20);
+      ticksUntilEnded++;
+      assertTrue(ticksUntilEnded < 20);
     }
     assertEquals(List.of(), engines.loads);
     advance(2000);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/package-info.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of which engine holds which layers. */
+/** Tests of the assignment of layers to engines. */
 package org.vaneworks.tests.placement;
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/EndedEndpointsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/CrashDetectorTest.java
@@ -12,8 +12,8 @@
 import org.vaneworks.coordination.fleet.FleetEndpoint;
 import org.vaneworks.coordination.fleet.Incarnation;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
-import org.vaneworks.coordination.quarantine.EndedEndpoints;
-import org.vaneworks.coordination.quarantine.EndpointEnd;
+import org.vaneworks.coordination.quarantine.CrashDetector;
+import org.vaneworks.coordination.quarantine.EndpointCrash;
 import org.vaneworks.coordination.quarantine.RequestStart;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.RequestContent;
@@ -22,7 +22,7 @@
 import org.vaneworks.testlib.PausedExecutor;
 
 /** Checks which losses of an endpoint are put down to which requests. */
-final class EndedEndpointsTest {
+final class CrashDetectorTest {
   private static final RequestContent CONTENT =
       RequestContent.of(Optional.empty(), "POST", "host.example", "/letters/", new byte[] {1});
   private static final Duration JUST_NOW = Duration.ofMillis(80);
@@ -30,8 +30,8 @@
   private final PausedExecutor clock = PausedExecutor.create();
   private final Fleet fleet =
       Fleet.create(clock, Counters.in(new SimpleMeterRegistry()), Duration.ofSeconds(3));
-  private final List<EndpointEnd> ends = new ArrayList<>();
-  private final EndedEndpoints ended = EndedEndpoints.watch(clock, fleet, ends::add);
+  private final List<EndpointCrash> ends = new ArrayList<>();
+  private final CrashDetector ended = CrashDetector.watch(clock, fleet, ends::add);
   private final TrackedEndpoint endpoint = list(1000);
 
   private TrackedEndpoint list(long startedAt) {
@@ -65,19 +65,19 @@
   }
 
   private void assertPutDown() {
-    assertEquals(List.of(new EndpointEnd(CONTENT, "e1@1000")), ends);
+    assertEquals(List.of(new EndpointCrash(CONTENT, "e1@1000")), ends);
   }
 
   @Test
   void brokenConnectionAloneShowsNoEnd() {
-    ended.lost(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
     clock.advance(Duration.ofSeconds(30));
     assertEquals(List.of(), ends);
   }
 
   @Test
   void refusedConnectionAfterABrokenOneShowsTheEnd() {
-    ended.lost(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
     fleet.noteNobodyListens(endpoint);
     assertPutDown();
   }
@@ -85,20 +85,20 @@
   @Test
   void requestThatIsLostAfterTheEndIsKnownIsSuspectedToo() {
     fleet.noteNobodyListens(endpoint);
-    ended.lost(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
     assertPutDown();
   }
 
   @Test
   void laterRunShowsTheEndOfTheFormer() {
-    ended.lost(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
     list(2000);
     assertPutDown();
   }
 
   @Test
   void endpointThatStopsListingItselfHasEnded() {
-    ended.lost(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
     clock.advance(Duration.ofSeconds(4));
     fleet.remove("e1");
     assertPutDown();
@@ -106,7 +106,7 @@
 
   @Test
   void endpointThatAnnouncedItsLeavingIsNotPutDownToARequest() {
-    ended.lost(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
     fleet.put(leaving(endpoint.endpoint()));
     fleet.remove("e1");
     assertEquals(List.of(), ends);
@@ -114,14 +114,14 @@
 
   @Test
   void requestThatHadRunForLongerIsNotSuspected() {
-    ended.lost(endpoint, RequestStart.of(CONTENT), EndedEndpoints.JUST_BEGUN.plusMillis(1));
+    ended.recordLoss(endpoint, RequestStart.of(CONTENT), CrashDetector.JUST_BEGUN.plusMillis(1));
     fleet.noteNobodyListens(endpoint);
     assertEquals(List.of(), ends);
   }
 
   @Test
   void refusalLongAfterABrokenConnectionSaysNothingOfIt() {
-    ended.lost(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
     clock.advance(Duration.ofSeconds(8));
     fleet.noteNobodyListens(endpoint);
     assertEquals(List.of(), ends);
@@ -132,7 +132,7 @@
     fleet.suspect(endpoint, "test");
     fleet.noteNobodyListens(endpoint);
     fleet.clear(endpoint);
-    ended.lost(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
     assertEquals(List.of(), ends);
     fleet.noteNobodyListens(endpoint);
     assertPutDown();
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/EndpointEndTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/EndpointCrashTest.java
@@ -9,28 +9,28 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
-import org.vaneworks.coordination.quarantine.EndpointEnd;
+import org.vaneworks.coordination.quarantine.EndpointCrash;
 import org.vaneworks.state.RequestContent;
 
 /** Checks how ends are written to the store and read from it. */
-final class EndpointEndTest {
+final class EndpointCrashTest {
   private static final RequestContent CONTENT =
       RequestContent.of(Optional.empty(), "GET", "host.example", "/", new byte[0]);
 
   @Test
   void endsAreReadAsTheyWereWritten() {
-    ImmutableList<EndpointEnd> ends =
-        ImmutableList.of(new EndpointEnd(CONTENT, "i-1@17"), new EndpointEnd(CONTENT, "i 2"));
-    assertEquals(ends, EndpointEnd.read(EndpointEnd.write(ends)));
+    ImmutableList<EndpointCrash> ends =
+        ImmutableList.of(new EndpointCrash(CONTENT, "i-1@17"), new EndpointCrash(CONTENT, "i 2"));
+    assertEquals(ends, EndpointCrash.read(EndpointCrash.write(ends)));
   }
 
   @Property(tries = 200, seed = "11")
   void whatIsNoListOfEndsIsRejected(@ForAll @StringLength(max = 30) String value) {
-    assertThrows(IllegalArgumentException.class, () -> EndpointEnd.read(value));
+    assertThrows(IllegalArgumentException.class, () -> EndpointCrash.read(value));
   }
 
   @Test
   void runWithoutANameIsRejected() {
-    assertThrows(IllegalArgumentException.class, () -> EndpointEnd.read(CONTENT.digest() + " "));
+    assertThrows(IllegalArgumentException.class, () -> EndpointCrash.read(CONTENT.digest() + " "));
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/QuarantineTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/QuarantineTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.vaneworks.coordination.quarantine.EndpointEnd;
+import org.vaneworks.coordination.quarantine.EndpointCrash;
 import org.vaneworks.coordination.quarantine.Quarantine;
 import org.vaneworks.state.RequestContent;
 import org.vaneworks.telemetry.Counters;
@@ -31,7 +31,7 @@
   }
 
   private boolean endUnder(RequestContent content, String run) {
-    return quarantine.noteEnd(new EndpointEnd(content, run));
+    return quarantine.recordCrash(new EndpointCrash(content, run));
   }
 
   private void hold() {
@@ -44,17 +44,17 @@
   void twoEndsHoldNothingBack() {
     endUnder(CONTENT, "e1");
     endUnder(CONTENT, "e2");
-    assertFalse(quarantine.holds(CONTENT));
+    assertFalse(quarantine.isQuarantined(CONTENT));
   }
 
   @Test
   void thirdEndHoldsBack() {
     List<RequestContent> told = new ArrayList<>();
-    quarantine.onHold(told::add);
+    quarantine.onQuarantined(told::add);
     endUnder(CONTENT, "e1");
     endUnder(CONTENT, "e2");
     assertTrue(endUnder(CONTENT, "e3"));
-    assertTrue(quarantine.holds(CONTENT));
+    assertTrue(quarantine.isQuarantined(CONTENT));
     assertEquals(List.of(CONTENT), told);
   }
 
@@ -63,22 +63,22 @@
     endUnder(CONTENT, "e1");
     endUnder(CONTENT, "e1");
     endUnder(CONTENT, "e1");
-    assertFalse(quarantine.holds(CONTENT));
+    assertFalse(quarantine.isQuarantined(CONTENT));
   }
 
   @Test
   void otherContentsAreNotHeldBack() {
     hold();
-    assertFalse(quarantine.holds(content("another letter")));
+    assertFalse(quarantine.isQuarantined(content("another letter")));
   }
 
   @Test
   void answerInBetweenClears() {
     endUnder(CONTENT, "e1");
     endUnder(CONTENT, "e2");
-    quarantine.noteAnswered(CONTENT);
+    quarantine.recordAnswer(CONTENT);
     endUnder(CONTENT, "e3");
-    assertFalse(quarantine.holds(CONTENT));
+    assertFalse(quarantine.isQuarantined(CONTENT));
     assertFalse(quarantine.isEmpty());
   }
 
@@ -86,9 +86,9 @@
   void contentMayRunAgainAfterTenMinutesAndIsHeldBackAtTheNextEnd() {
     hold();
     clock.advance(Quarantine.HELD_FOR);
-    assertFalse(quarantine.holds(CONTENT));
+    assertFalse(quarantine.isQuarantined(CONTENT));
     assertTrue(endUnder(CONTENT, "e4"));
-    assertTrue(quarantine.holds(CONTENT));
+    assertTrue(quarantine.isQuarantined(CONTENT));
   }
 
   @Test
@@ -97,7 +97,7 @@
     endUnder(CONTENT, "e2");
     clock.advance(Duration.ofMinutes(11));
     endUnder(CONTENT, "e3");
-    assertFalse(quarantine.holds(CONTENT));
+    assertFalse(quarantine.isQuarantined(CONTENT));
   }
 
   @Test
@@ -107,7 +107,7 @@
       endUnder(content("letter " + i), "e4");
     }
     assertTrue(quarantine.size() <= Quarantine.MOST_SUSPECTS);
-    assertTrue(quarantine.holds(CONTENT));
+    assertTrue(quarantine.isQuarantined(CONTENT));
   }
 
   @Test
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/relay/PathPlannerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/relay/PathPlannerTest.java
@@ -29,7 +29,7 @@
 import org.vaneworks.testlib.PausedExecutor;
 import org.vaneworks.tests.placement.Models;
 
-/** Checks which paths the planner chooses. */
+/** Tests for {@link PathPlanner}. */
 final class PathPlannerTest {
   private static final int LAYERS = 80;
   private static final String[] KINDS = {"large", "middle", "small"};
@@ -40,7 +40,7 @@
   private final PathPlanner planner = PathPlanner.create(new Random(1));
 
   private TrackedEndpoint engine(int number, String dataCentre, String kind, int from, int to) {
-    // Each try of a property lists engines of its own under the same ids.
+    // Each try of a property lists its own engines under the same ids.
     fleet.withdraw("e" + number, "another try");
     HostPort address = new HostPort("10.0." + (number / 200) + "." + (number % 200 + 1), 80);
     fleet.put(
@@ -66,12 +66,12 @@
   }
 
   @Test
-  void noEnginesMakeNoPath() {
+  void noPathWithoutEngines() {
     assertTrue(plan().isEmpty());
   }
 
   @Test
-  void missingLayerMakesNoPath() {
+  void noPathIfALayerIsMissing() {
     engine(1, "dc1", "large", 0, 40);
     engine(2, "dc1", "large", 41, 80);
     assertTrue(plan().isEmpty());
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void nodePrefersTheSameFewOfManyLikeEngines() {
+  void nodePrefersTheSameFewOfManyEqualEngines() {
     for (int i = 0; i < 20; i++) {
       engine(i, "dc1", "large", 0, 30);
     }
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void kindThatIsThreeTimesAsFastIsPreferredByEveryNode() {
+  void muchFasterEngineIsPreferredByEveryNode() {
     TrackedEndpoint fast = engine(1, "dc1", "large", 0, 10);
     engine(2, "dc1", "small", 0, 10);
     engine(3, "dc1", "large", 10, 80);
@@ -124,7 +124,7 @@
   }
 
   @Test
-  void crowdedEngineIsLeftForASlowerOne() {
+  void slowerEngineIsPreferredToACrowdedOne() {
     TrackedEndpoint fast = engine(1, "dc1", "large", 0, 36);
     TrackedEndpoint slow = engine(2, "dc1", "middle", 0, 20);
     engine(3, "dc1", "large", 20, 57);
@@ -132,13 +132,13 @@
     for (int i = 0; i < 4; i++) {
       fast.reserve(1000 * 36.0);
     }
-    // Seven other nodes with as much each.
+    // Seven other nodes send as much load each.
     fast.peersLoad(28, 28 * 1000 * 36.0, 1);
     assertEquals(slow, plan().get().first());
   }
 
   @Test
-  void engineThatOtherNodesFilledIsLeftForASlowerOne() {
+  void slowerEngineIsPreferredToOneFilledByOtherNodes() {
     TrackedEndpoint fast = engine(1, "dc1", "large", 0, 36);
     TrackedEndpoint slow = engine(2, "dc1", "middle", 0, 20);
     engine(3, "dc1", "large", 20, 57);
@@ -148,7 +148,7 @@
   }
 
   @Test
-  void engineThatSaysItIsSlowIsLeft() {
+  void engineThatReportsAShortageIsAvoided() {
     TrackedEndpoint first = engine(1, "dc1", "large", 0, 30);
     TrackedEndpoint second = engine(2, "dc1", "large", 0, 30);
     engine(3, "dc1", "large", 30, 80);
@@ -167,7 +167,7 @@
   }
 
   @Test
-  void pathCrossesOnlyWhereNoDataCentreHoldsAllLayers() {
+  void pathChangesDataCentreOnlyIfNoneHoldsAllLayers() {
     engine(1, "dc1", "large", 0, 40);
     engine(2, "dc2", "large", 40, 80);
     assertEquals(2, plan().get().parts().size());
@@ -190,7 +190,7 @@
   }
 
   @Property(tries = 400, seed = "20261202")
-  void everyPathTilesTheModelWithinWhatItsEnginesHold(@ForAll long seed) {
+  void everyPathCoversTheModelWithLayersThatItsEnginesHold(@ForAll long seed) {
     randomEngines(new Random(seed), 0);
     Optional<EnginePath> path = plan();
     boolean[] held = new boolean[LAYERS];
@@ -200,12 +200,12 @@
         held[layer] = true;
       }
     }
-    boolean all = true;
+    boolean everyLayerHeld = true;
     for (boolean layer : held) {
-      all &= layer;
+      everyLayerHeld &= layer;
     }
-    assertEquals(all, path.isPresent());
-    // EnginePath itself rejects gaps, overlaps and an engine named twice.
+    assertEquals(everyLayerHeld, path.isPresent());
+    // EnginePath itself rejects gaps, overlaps and an engine that occurs twice.
     path.ifPresent(
         found ->
             found
@@ -214,7 +214,7 @@
   }
 
   @Property(tries = 400, seed = "20261202")
-  void noPathPassesAnEngineWithoutRoom(@ForAll long seed) {
+  void noPathUsesAnEngineWithoutCapacity(@ForAll long seed) {
     randomEngines(new Random(seed), 200_000);
     plan().ifPresent(path -> path.parts().forEach(PathPlannerTest::assertFits));
   }
@@ -224,28 +224,31 @@
     AcceleratorProfile accelerator =
         Models.eightyLayers().accelerator(engine.endpoint().accelerator()).get();
     int held = engine.endpoint().layers().get().size();
-    double room = Models.eightyLayers().roomTokenLayers(accelerator, held);
+    double capacity = Models.eightyLayers().roomTokenLayers(accelerator, held);
     double needed = engine.tokenLayersOfAll() + 1000.0 * part.layers().size();
-    // One that is described as too small for its own layers refuses by itself.
-    assertTrue(room <= 0 || needed <= room, part + " needs " + needed + " of " + room);
+    // An engine whose configured memory is too small for its own layers refuses requests itself.
+    assertTrue(capacity <= 0 || needed <= capacity, part + " needs " + needed + " of " + capacity);
   }
 
-  /** Lists engines with random ranges, of which other requests take up to that much. */
-  private void randomEngines(Random random, int mostTokenLayers) {
+  /**
+   * Lists engines with random ranges, each with a load of other requests below the given number of
+   * token layers.
+   */
+  private void randomEngines(Random random, int maxTokenLayers) {
     int engines = 3 + random.nextInt(30);
     for (int i = 0; i < engines; i++) {
       int from = random.nextInt(LAYERS);
       int to = from + 1 + random.nextInt(LAYERS - from);
       TrackedEndpoint engine =
           engine(i, "dc" + random.nextInt(3), KINDS[random.nextInt(3)], from, to);
-      if (mostTokenLayers > 0) {
-        engine.reserve(random.nextInt(mostTokenLayers));
+      if (maxTokenLayers > 0) {
+        engine.reserve(random.nextInt(maxTokenLayers));
       }
     }
   }
 
   @Test
-  void pathMayChangeBetweenOverlappingRanges() {
+  void pathMayUseOverlappingRanges() {
     engine(1, "dc1", "large", 0, 50);
     engine(2, "dc1", "large", 40, 80);
     assertFalse(plan().isEmpty());
@@ -253,7 +256,7 @@
   }
 
   @Test
-  void planOverManyEnginesNamesNoneTwice() {
+  void pathOverManyEnginesContainsNoneTwice() {
     for (int i = 0; i < 90; i++) {
       int from = (i * 7) % 71;
       engine(i, "dc1", KINDS[i % 3], from, Math.min(LAYERS, from + 9 + i % 20));
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/relay/package-info.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/relay/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the choice of engines for a request. */
+/** Tests of the choice of paths over engines. */
 package org.vaneworks.tests.relay;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/Node.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/Node.java
@@ -124,7 +124,7 @@
         });
     membership.onNewerVersion(spread::fetch);
     membership.onLeaving(
-        hint -> table.find(hint.endpoint()).ifPresent(state -> table.leaving(state, "a peer")));
+        hint -> table.find(hint.endpoint()).ifPresent(state -> table.markLeaving(state, "a peer")));
     table.onLeaving(state -> membership.tellLeaving(new EndpointHint(state.endpoint().id())));
     monitor.onUsable(admission::recheck);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/ServiceRouter.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/ServiceRouter.java
@@ -107,7 +107,7 @@
           if (failure != null) {
             return afterFailure(service, call, repeatable, tried, endpoint, failure);
           }
-          endpoint.workAnswered();
+          endpoint.recordSuccess();
           return CompletableFuture.completedFuture(reply);
         });
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionPolicy.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionPolicy.java
@@ -37,7 +37,7 @@
       boolean idle = true;
       for (EndpointState engine : route.engines()) {
         int mine = engine.inFlight();
-        int cap = engine.isLearned() ? limits.maxStreams() : limits.streamsWhileUnknown();
+        int cap = engine.hasLearnedStepTimes() ? limits.maxStreams() : limits.streamsWhileUnknown();
         if (mine >= cap) {
           return false;
         }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointClient.java
@@ -5,31 +5,31 @@
 import org.vaneworks.state.HostPort;
 
 /**
- * Calls to endpoints.
+ * Sends calls to endpoints.
  *
  * <p>Every failed future carries a {@link org.vaneworks.state.RefusalException} whose verdict says
  * whether the call may have run. An implementation sends each call at most once.
  */
 public interface EndpointClient {
-  /** Asks an endpoint to describe itself. */
+  /** Requests an endpoint's status. */
   CompletableFuture<EndpointStatus> status(HostPort address);
 
   /** Runs one step of a session. */
   CompletableFuture<StepReply> step(Endpoint endpoint, StepCall call);
 
-  /** Ends a session and frees what it holds; cancels a step that runs in it. */
+  /** Ends a session, frees its resources and cancels a step that runs in it. */
   CompletableFuture<Void> end(Endpoint endpoint, SessionId session);
 
-  /** Copies a session's state out of an engine; the session stays as it is. */
+  /** Copies a session's state out of an engine; the session itself is unchanged. */
   CompletableFuture<SessionExport> exportSession(Endpoint endpoint, SessionId session);
 
-  /** Puts a session's state into an engine under another epoch. */
+  /** Restores an exported session in an engine under another epoch. */
   CompletableFuture<Void> importSession(Endpoint endpoint, SessionId as, SessionExport export);
 
   /**
-   * Lets go of what is kept for an address that is no longer listed; calls on their way go on.
+   * Releases what is kept for an address that is no longer listed. Calls in flight continue.
    *
-   * <p>Does nothing unless an implementation keeps something.
+   * <p>The default implementation does nothing.
    */
   default void forget(HostPort address) {}
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointHint.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointHint.java
@@ -5,9 +5,9 @@
 import org.vaneworks.state.EndpointId;
 
 /**
- * News of an endpoint that leaves, from the first node that heard of it.
+ * A notice that an endpoint is leaving, sent by the first node that learns of it.
  *
- * @param endpoint which one
+ * @param endpoint the endpoint that is leaving
  */
 public record EndpointHint(EndpointId endpoint) {
   /** Checks that the endpoint is given. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointLimits.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointLimits.java
@@ -5,27 +5,28 @@
 import java.time.Duration;
 
 /**
- * Bounds on the use of one endpoint.
+ * Limits on the use of one endpoint.
  *
- * @param leastProgress a call is never looked into sooner than this
- * @param stepTimeout a call is given up after this, whatever was learned
- * @param streamsWhileUnknown streams of this node on an engine whose step time is not learned yet
- * @param maxStreams streams of this node on one engine at most
+ * @param minProgressDeadline minimum time before the progress of a call is checked
+ * @param stepTimeout timeout of a call, whatever step times were learned
+ * @param streamsWhileUnknown maximum number of this node's streams on an engine whose step time has
+ *     not been learned yet
+ * @param maxStreams maximum number of this node's streams on one engine
  */
 public record EndpointLimits(
-    Duration leastProgress, Duration stepTimeout, int streamsWhileUnknown, int maxStreams) {
-  /** Checks the bounds. */
+    Duration minProgressDeadline, Duration stepTimeout, int streamsWhileUnknown, int maxStreams) {
+  /** Checks the limits. */
   public EndpointLimits {
     checkArgument(
-        leastProgress.compareTo(stepTimeout) <= 0,
-        "leastProgress %s must not be over stepTimeout %s",
-        leastProgress,
+        minProgressDeadline.compareTo(stepTimeout) <= 0,
+        "minProgressDeadline %s must not be over stepTimeout %s",
+        minProgressDeadline,
         stepTimeout);
     checkArgument(streamsWhileUnknown > 0, "streamsWhileUnknown: %s", streamsWhileUnknown);
     checkArgument(maxStreams > 0, "maxStreams must be positive: %s", maxStreams);
   }
 
-  /** Returns the bounds that hold unless settings say otherwise. */
+  /** Returns the default limits. */
   public static EndpointLimits defaults() {
     return new EndpointLimits(Duration.ofMillis(250), Duration.ofSeconds(5), 4, 256);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointMonitor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointMonitor.java
@@ -26,34 +26,36 @@
 import org.vaneworks.telemetry.EventLog;
 
 /**
- * Keeps the endpoint table true to the platform's box list and the endpoints' own reports.
+ * Keeps the endpoint table up to date from the platform's box list and the endpoints' own status.
  *
- * <p>An endpoint gets no new work as soon as any source says that it leaves. Thread-safe.
+ * <p>An endpoint gets no new work as soon as any source reports that it is leaving. Thread-safe.
  */
 public final class EndpointMonitor {
   private static final long MILLIS_PER_SECOND = 1000;
-  private static final Duration LIST_EVERY = Duration.ofSeconds(1);
-  private static final Duration LIST_SELDOM = Duration.ofSeconds(10);
-  private static final Duration LIST_LIMIT = Duration.ofSeconds(1);
-  private static final Duration STATUS_EVERY = Duration.ofSeconds(1);
+  private static final Duration LIST_INTERVAL = Duration.ofSeconds(1);
+  private static final Duration LONG_LIST_INTERVAL = Duration.ofSeconds(10);
+  private static final Duration LIST_TIMEOUT = Duration.ofSeconds(1);
+  private static final Duration MIN_STATUS_INTERVAL = Duration.ofSeconds(1);
 
   /**
-   * Status calls a second at most, so that their cost does not grow with the fleet; the calls of
+   * Maximum rate of status calls, so that their cost does not grow with the fleet. The calls of
    * requests show an endpoint's health sooner than its status does.
    */
-  private static final int STATUS_CALLS_PER_SECOND = 20;
+  private static final int MAX_STATUS_CALLS_PER_SECOND = 20;
 
-  private static final Duration STATUS_LIMIT = Duration.ofMillis(800);
+  private static final Duration STATUS_TIMEOUT = Duration.ofMillis(800);
 
-  /** How many lists in a row must lack a box before it counts as gone: the list lags. */
-  private static final int MISSES_UNTIL_GONE = 3;
+  /**
+   * Number of consecutive lists that must lack a box before it is removed, because the list lags.
+   */
+  private static final int MISSES_UNTIL_REMOVED = 3;
 
-  private static final class Watched {
+  private static final class WatchedBox {
     private final Box box;
-    private Optional<EndpointId> known = Optional.empty();
+    private Optional<EndpointId> endpointId = Optional.empty();
     private int misses;
 
-    Watched(Box box) {
+    WatchedBox(Box box) {
       this.box = box;
     }
   }
@@ -67,7 +69,7 @@
   private final Consumer<ImmutableList<Box>> onBoxes;
 
   @GuardedBy("this")
-  private final Map<HostPort, Watched> watched = new HashMap<>();
+  private final Map<HostPort, WatchedBox> watchedBoxes = new HashMap<>();
 
   private volatile boolean stopped;
   private volatile Runnable onUsable = () -> {};
@@ -90,11 +92,11 @@
   }
 
   /**
-   * Returns a monitor that is yet to be started.
+   * Returns a monitor that is not started yet.
    *
-   * @param readsOften whether this node is among those that read the list often; the others hear of
-   *     leaving endpoints from them
-   * @param onBoxes is told of each list that was read
+   * @param readsOften whether this node is one of those that read the list at the short interval;
+   *     the other nodes learn of leaving endpoints from them
+   * @param onBoxes receives each list that was read
    */
   public static EndpointMonitor create(
       Executor executor,
@@ -107,17 +109,20 @@
     return new EndpointMonitor(executor, list, client, table, random, readsOften, onBoxes);
   }
 
-  /** Sets what runs when an endpoint was found, for requests that wait. */
+  /**
+   * Sets a listener that runs when an endpoint becomes usable, so that waiting requests can be
+   * sent.
+   */
   public void onUsable(Runnable listener) {
     onUsable = checkNotNull(listener);
   }
 
-  /** Starts to poll. */
+  /** Starts polling. */
   public void start() {
     executor.execute(this::readList);
   }
 
-  /** Stops to poll. */
+  /** Stops polling. */
   public void stop() {
     stopped = true;
   }
@@ -126,114 +131,117 @@
     if (stopped) {
       return;
     }
-    RuntimeException late = StoreException.withoutEffect("the box list did not answer in time");
+    RuntimeException timeout = StoreException.withoutEffect("the box list did not answer in time");
     Async.onDone(
-        Async.within(executor, LIST_LIMIT, list.boxes(), late),
+        Async.within(executor, LIST_TIMEOUT, list.boxes(), timeout),
         executor,
         (boxes, failure) -> {
           if (failure == null) {
-            listed(boxes);
+            updateBoxes(boxes);
           } else {
             EventLog.warn(Event.BOX_LIST_FAILED, "cause", failure.getMessage());
           }
-          boolean often = readsOften.getAsBoolean() || failure != null;
-          executor.schedule(this::readList, jittered(often ? LIST_EVERY : LIST_SELDOM));
+          boolean frequent = readsOften.getAsBoolean() || failure != null;
+          executor.schedule(
+              this::readList, jittered(frequent ? LIST_INTERVAL : LONG_LIST_INTERVAL));
         });
   }
 
-  private void listed(ImmutableList<Box> boxes) {
+  private void updateBoxes(ImmutableList<Box> boxes) {
     onBoxes.accept(boxes);
     Set<HostPort> present = new HashSet<>();
     for (Box box : boxes) {
       if (box.role() == Role.ENDPOINT) {
         present.add(box.address());
-        noteBox(box);
+        updateBox(box);
       }
     }
-    dropMissing(present);
+    removeMissing(present);
   }
 
-  private void noteBox(Box box) {
-    Watched watch;
+  private void updateBox(Box box) {
+    WatchedBox watched;
     boolean added;
     synchronized (this) {
-      added = !watched.containsKey(box.address());
-      watch = watched.computeIfAbsent(box.address(), address -> new Watched(box));
-      watch.misses = 0;
+      added = !watchedBoxes.containsKey(box.address());
+      watched = watchedBoxes.computeIfAbsent(box.address(), address -> new WatchedBox(box));
+      watched.misses = 0;
     }
     if (added) {
-      pollStatus(watch);
+      pollStatus(watched);
     }
     if (box.leaving()) {
-      stateOf(watch).ifPresent(state -> table.leaving(state, "box list"));
+      stateOf(watched).ifPresent(state -> table.markLeaving(state, "box list"));
     }
   }
 
-  private void dropMissing(Set<HostPort> present) {
-    Set<EndpointId> gone = new HashSet<>();
+  private void removeMissing(Set<HostPort> present) {
+    Set<EndpointId> removedIds = new HashSet<>();
     Set<HostPort> unlisted = new HashSet<>();
     synchronized (this) {
-      for (Watched watch : ImmutableList.copyOf(watched.values())) {
-        if (!present.contains(watch.box.address()) && ++watch.misses >= MISSES_UNTIL_GONE) {
-          watched.remove(watch.box.address());
-          unlisted.add(watch.box.address());
-          watch.known.ifPresent(gone::add);
+      for (WatchedBox watched : ImmutableList.copyOf(watchedBoxes.values())) {
+        if (!present.contains(watched.box.address()) && ++watched.misses >= MISSES_UNTIL_REMOVED) {
+          watchedBoxes.remove(watched.box.address());
+          unlisted.add(watched.box.address());
+          watched.endpointId.ifPresent(removedIds::add);
         }
       }
     }
-    gone.forEach(table::remove);
+    removedIds.forEach(table::remove);
     unlisted.forEach(client::forget);
   }
 
-  private synchronized Optional<EndpointState> stateOf(Watched watch) {
-    return watch.known.flatMap(table::find);
+  private synchronized Optional<EndpointState> stateOf(WatchedBox watched) {
+    return watched.endpointId.flatMap(table::find);
   }
 
-  private synchronized boolean isWatched(Watched watch) {
-    return watched.get(watch.box.address()) == watch;
+  private synchronized boolean isWatched(WatchedBox watched) {
+    return watchedBoxes.get(watched.box.address()) == watched;
   }
 
-  private void pollStatus(Watched watch) {
-    if (stopped || !isWatched(watch)) {
+  private void pollStatus(WatchedBox watched) {
+    if (stopped || !isWatched(watched)) {
       return;
     }
     long sentAt = executor.currentTime(NANOSECONDS);
-    RuntimeException late = StoreException.withoutEffect("no status in time");
+    RuntimeException timeout =
+        StoreException.withoutEffect("the endpoint did not answer the status call in time");
     Async.onDone(
-        Async.within(executor, STATUS_LIMIT, client.status(watch.box.address()), late),
+        Async.within(executor, STATUS_TIMEOUT, client.status(watched.box.address()), timeout),
         executor,
         (status, failure) -> {
           if (failure == null) {
-            described(watch, status, Duration.ofNanos(executor.currentTime(NANOSECONDS) - sentAt));
+            updateStatus(
+                watched, status, Duration.ofNanos(executor.currentTime(NANOSECONDS) - sentAt));
           } else {
-            stateOf(watch).ifPresent(table::doubt);
+            stateOf(watched).ifPresent(table::recordStatusFailure);
           }
-          executor.schedule(() -> pollStatus(watch), jittered(statusEvery()));
+          executor.schedule(() -> pollStatus(watched), jittered(statusInterval()));
         });
   }
 
-  private void described(Watched watch, EndpointStatus status, Duration roundTrip) {
+  private void updateStatus(WatchedBox watched, EndpointStatus status, Duration roundTrip) {
     EndpointId id = status.endpoint().id();
-    Optional<EndpointId> before;
+    Optional<EndpointId> previous;
     synchronized (this) {
-      before = watch.known;
-      watch.known = Optional.of(id);
+      previous = watched.endpointId;
+      watched.endpointId = Optional.of(id);
     }
-    before.filter(old -> !old.equals(id)).ifPresent(table::remove);
+    previous.filter(old -> !old.equals(id)).ifPresent(table::remove);
     EndpointState state = table.add(status.endpoint());
-    state.statusAnswered(status, roundTrip);
-    if (status.leaving() || watch.box.leaving()) {
-      table.leaving(state, "status");
+    state.recordStatus(status, roundTrip);
+    if (status.leaving() || watched.box.leaving()) {
+      table.markLeaving(state, "status");
     }
     if (state.isUsable()) {
       onUsable.run();
     }
   }
 
-  private synchronized Duration statusEvery() {
-    Duration affordable =
-        Duration.ofMillis(MILLIS_PER_SECOND * watched.size() / STATUS_CALLS_PER_SECOND);
-    return affordable.compareTo(STATUS_EVERY) > 0 ? affordable : STATUS_EVERY;
+  private synchronized Duration statusInterval() {
+    Duration limitedByRate =
+        Duration.ofMillis(MILLIS_PER_SECOND * watchedBoxes.size() / MAX_STATUS_CALLS_PER_SECOND);
+    return limitedByRate.compareTo(MIN_STATUS_INTERVAL) > 0 ? limitedByRate : MIN_STATUS_INTERVAL;
   }
 
   private Duration jittered(Duration base) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointState.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointState.java
@@ -16,22 +16,22 @@
 import org.vaneworks.telemetry.EventLog;
 
 /**
- * What this node knows of one endpoint: health, load, step times, cached prefixes.
+ * The state of one endpoint as this node knows it: health, load, step times and cached prefixes.
  *
- * <p>Thread-safe. Its lock is held for a few field accesses only and is never held while another of
- * this package's locks is taken, except that of {@link KindTimes}.
+ * <p>Thread-safe. Its lock is held for a few field accesses only, and while it is held no other
+ * lock of this package is taken except that of {@link StepTimesByKind}.
  */
 public final class EndpointState {
-  private static final Duration FIRST_EJECTION = Duration.ofMillis(500);
-  private static final Duration LONGEST_EJECTION = Duration.ofSeconds(20);
-  private static final double LINK_FADE = 0.9;
+  private static final Duration MIN_EJECTION = Duration.ofMillis(500);
+  private static final Duration MAX_EJECTION = Duration.ofSeconds(20);
+  private static final double LINK_DECAY = 0.9;
   private static final double DEADLINE_FACTOR = 4;
   private static final double DEADLINE_DEVIATIONS = 8;
-  private static final int PREFIX_HINTS = 512;
+  private static final int MAX_PREFIX_HINTS = 512;
 
   private final Endpoint endpoint;
   private final Executor clock;
-  private final KindTimes kinds;
+  private final StepTimesByKind timesByKind;
   private final EndpointLimits limits;
   private final IntSupplier nodes;
 
@@ -71,9 +71,9 @@
   @GuardedBy("this")
   private boolean ejected;
 
-  /** Whether one status call without an answer is all that speaks against the endpoint. */
+  /** Whether the endpoint was ejected only because of a single failed status call. */
   @GuardedBy("this")
-  private boolean doubted;
+  private boolean ejectedByStatusOnly;
 
   @GuardedBy("this")
   private boolean answeredSinceEjection;
@@ -85,28 +85,28 @@
   private long lastProgress;
 
   @GuardedBy("this")
-  private long uses;
+  private long streamsStarted;
 
   EndpointState(
       Endpoint endpoint,
       Executor clock,
-      KindTimes kinds,
+      StepTimesByKind timesByKind,
       EndpointLimits limits,
       IntSupplier nodes) {
     this.endpoint = endpoint;
     this.clock = clock;
-    this.kinds = kinds;
+    this.timesByKind = timesByKind;
     this.limits = limits;
     this.nodes = nodes;
     this.lastProgress = clock.currentTime(NANOSECONDS) - 1;
   }
 
-  /** Returns the endpoint as it described itself. */
+  /** Returns the endpoint's own description. */
   public Endpoint endpoint() {
     return endpoint;
   }
 
-  /** Returns whether new work may be sent now. */
+  /** Returns whether new work may be sent to the endpoint now. */
   public synchronized boolean isUsable() {
     if (leaving) {
       return false;
@@ -116,143 +116,153 @@
 
   @GuardedBy("this")
   private boolean isHalfOpen() {
-    boolean rested = clock.currentTime(NANOSECONDS) - ejectedUntil >= 0;
-    return rested && answeredSinceEjection && inFlight == 0;
+    boolean ejectionElapsed = clock.currentTime(NANOSECONDS) - ejectedUntil >= 0;
+    return ejectionElapsed && answeredSinceEjection && inFlight == 0;
   }
 
   /**
-   * Returns whether the endpoint may get work for want of any other.
+   * Returns whether the endpoint may get work when no usable endpoint is left.
    *
-   * <p>A status call that is late once says little: the endpoint or this node may have been busy.
-   * To refuse everything for it would be the greater harm.
+   * <p>This is so after a single failed status call, which is weak evidence: the endpoint or this
+   * node may have been busy. Refusing all requests for it would do more harm.
    */
   public synchronized boolean isLastResort() {
-    return !leaving && doubted;
+    return !leaving && ejectedByStatusOnly;
   }
 
-  /** Returns whether the endpoint wants no new work. */
+  /** Returns whether the endpoint is leaving and accepts no new work. */
   public synchronized boolean isLeaving() {
     return leaving;
   }
 
-  /** Marks the endpoint as leaving; returns whether this was news. */
+  /** Marks the endpoint as leaving and returns whether it was not marked before. */
   synchronized boolean markLeaving() {
-    boolean news = !leaving;
+    boolean changed = !leaving;
     leaving = true;
-    return news;
+    return changed;
   }
 
-  /** Takes note of a stream that starts here. */
+  /** Records the start of a stream on the endpoint. */
   public synchronized void streamStarted() {
     inFlight++;
     changeSinceReport++;
-    uses++;
+    streamsStarted++;
   }
 
-  /** Takes note of a stream that ended here. */
+  /** Records the end of a stream on the endpoint. */
   public synchronized void streamEnded() {
     inFlight--;
     changeSinceReport--;
   }
 
-  /** Returns this node's streams on the endpoint. */
+  /** Returns the number of this node's streams on the endpoint. */
   public synchronized int inFlight() {
     return inFlight;
   }
 
-  /** Returns how many streams this node ever started here. */
-  public synchronized long uses() {
-    return uses;
+  /** Returns the total number of streams that this node has started on the endpoint. */
+  public synchronized long streamsStarted() {
+    return streamsStarted;
   }
 
   /**
-   * Returns the estimated number of sessions there now.
+   * Returns the estimated number of sessions on the endpoint now.
    *
-   * <p>The report lags. What this node started and ended since is known, and the other nodes, who
-   * read the same report behind the same balancer, are taken to have done likewise.
+   * <p>The endpoint's report lags, so this node's own starts and ends since the report are added.
+   * The other nodes, which read the same report and are behind the same balancer, are assumed to
+   * have started and ended as many each.
    */
   public synchronized double estimatedRunning() {
     return Math.max(inFlight, reportedRunning + (double) changeSinceReport * nodes.getAsInt());
   }
 
-  /** Returns the expected step time in milliseconds, link included, beside that many sessions. */
+  /**
+   * Returns the expected step time in milliseconds, including the link, with that many sessions
+   * running.
+   */
   public synchronized double predictedStepMillis(double running) {
-    double own = steps.isTrusted() ? steps.predict(running) : 0;
-    return linkMillis + (own > 0 ? own : kinds.predictStep(endpoint, running));
+    double learned = steps.isTrusted() ? steps.predict(running) : 0;
+    return linkMillis + (learned > 0 ? learned : timesByKind.predictStep(endpoint, running));
   }
 
-  /** Returns how far 95 in 100 step times stay within the prediction, in milliseconds. */
+  /**
+   * Returns the margin above the predicted step time, in milliseconds, that 95% of step times do
+   * not exceed.
+   */
   public synchronized double stepTailMillis() {
     return steps.tail();
   }
 
-  /** Returns the expected time in milliseconds to run a prompt of that many positions. */
+  /**
+   * Returns the expected time in milliseconds, including the link, to process a prompt of that many
+   * positions.
+   */
   public synchronized double predictedPromptMillis(double positions) {
-    double own = prompts.isTrusted() ? prompts.predict(positions) : 0;
-    return linkMillis + (own > 0 ? own : kinds.predictPrompt(endpoint, positions));
+    double learned = prompts.isTrusted() ? prompts.predict(positions) : 0;
+    return linkMillis + (learned > 0 ? learned : timesByKind.predictPrompt(endpoint, positions));
   }
 
-  /** Returns whether step times were learned here, so that predictions can be relied on. */
-  public synchronized boolean isLearned() {
+  /** Returns whether enough step times of this endpoint were observed to rely on predictions. */
+  public synchronized boolean hasLearnedStepTimes() {
     return steps.isTrusted();
   }
 
-  /** Returns the measured round trip in milliseconds without the engine's work. */
+  /** Returns the smoothed round trip in milliseconds, without the engine's work. */
   public synchronized double linkMillis() {
     return linkMillis;
   }
 
   /**
-   * Returns the share of a prompt, 0 to 1, whose prefix is believed to be cached here.
+   * Returns the share of a prompt, 0 to 1, whose prefix is expected to be cached on the endpoint.
    *
-   * @param hashes of the prompt's growing prefixes, shortest first
+   * @param hashes hashes of the prompt's growing prefixes, shortest first
    */
   public synchronized double cachedShare(ImmutableList<Long> hashes) {
     return prefixes.cachedShare(hashes);
   }
 
-  /** Takes note that the prompt's prefixes are now cached here. */
-  public synchronized void promptCached(ImmutableList<Long> hashes) {
+  /** Records that the prompt's prefixes are now cached on the endpoint. */
+  public synchronized void recordCachedPrompt(ImmutableList<Long> hashes) {
     prefixes.add(hashes);
   }
 
-  /** Takes note that the endpoint did the work that it was given; ends an ejection. */
-  public synchronized void workAnswered() {
+  /** Records a successful call, which ends an ejection. */
+  public synchronized void recordSuccess() {
     failures = 0;
-    doubted = false;
+    ejectedByStatusOnly = false;
     if (ejected) {
       ejected = false;
       EventLog.info(Event.ENDPOINT_PROBED, "endpoint", endpoint.id());
     }
   }
 
-  /** Takes the time that one call took, from sending to the answer. */
-  public synchronized void stepAnswered(StepCall call, Duration took) {
+  /** Records a successful step and the time from sending the call to receiving its answer. */
+  public synchronized void recordStep(StepCall call, Duration duration) {
     lastProgress = clock.currentTime(NANOSECONDS);
-    workAnswered();
-    double millis = Math.max(0, took.toNanos() / 1e6 - linkMillis);
+    recordSuccess();
+    double millis = Math.max(0, duration.toNanos() / 1e6 - linkMillis);
     if (call.step() == 0 || call.rebuilds()) {
       int positions = call.positions() + call.historyPositions();
       prompts.observe(positions, millis);
-      kinds.observePrompt(endpoint, positions, millis);
+      timesByKind.observePrompt(endpoint, positions, millis);
       return;
     }
     double running = estimatedRunning();
     steps.observe(running, millis);
-    kinds.observeStep(endpoint, running, millis);
+    timesByKind.observeStep(endpoint, running, millis);
   }
 
-  /** Returns when a step was last answered here, by the clock, in nanoseconds. */
+  /** Returns the clock time, in nanoseconds, at which the endpoint last answered a step. */
   public synchronized long lastProgress() {
     return lastProgress;
   }
 
-  /** Returns how long a call may take at most. */
+  /** Returns the timeout of a call. */
   public Duration stepTimeout() {
     return limits.stepTimeout();
   }
 
-  /** Returns how long a call may take before its progress is looked into. */
+  /** Returns the time after which the progress of a call should be checked. */
   public synchronized Duration progressDeadline(StepCall call) {
     boolean isPrompt = call.step() == 0 || call.rebuilds();
     StepTimeModel model = isPrompt ? prompts : steps;
@@ -263,16 +273,16 @@
         isPrompt
             ? predictedPromptMillis(call.positions() + call.historyPositions())
             : predictedStepMillis(inFlight);
-    double allowed = DEADLINE_FACTOR * expected + DEADLINE_DEVIATIONS * model.deviation();
-    long least = limits.leastProgress().toMillis();
-    long most = limits.stepTimeout().toMillis();
-    return Duration.ofMillis(Math.min(most, Math.max(least, (long) allowed)));
+    double deadline = DEADLINE_FACTOR * expected + DEADLINE_DEVIATIONS * model.deviation();
+    long min = limits.minProgressDeadline().toMillis();
+    long max = limits.stepTimeout().toMillis();
+    return Duration.ofMillis(Math.min(max, Math.max(min, (long) deadline)));
   }
 
-  /** Takes a status report and the time that it took. */
-  public synchronized void statusAnswered(EndpointStatus status, Duration roundTrip) {
+  /** Records a status report and the round trip time of the status call. */
+  public synchronized void recordStatus(EndpointStatus status, Duration roundTrip) {
     double millis = roundTrip.toNanos() / 1e6;
-    linkMillis = linkMeasured ? fadeLink(millis) : millis;
+    linkMillis = linkMeasured ? smoothedLink(millis) : millis;
     linkMeasured = true;
     if (status.reportSequence() != reportSequence) {
       reportSequence = status.reportSequence();
@@ -284,56 +294,60 @@
     }
   }
 
-  /** Falls at once, rises slowly: a status call that waited behind others says little of a link. */
+  /**
+   * Returns the new link estimate, which falls at once and rises slowly: a status call that waited
+   * behind other calls says little about the link.
+   */
   @GuardedBy("this")
-  private double fadeLink(double millis) {
-    return millis < linkMillis ? millis : LINK_FADE * linkMillis + (1 - LINK_FADE) * millis;
+  private double smoothedLink(double millis) {
+    return millis < linkMillis ? millis : LINK_DECAY * linkMillis + (1 - LINK_DECAY) * millis;
   }
 
   /**
-   * Takes note of a status call without an answer, and ejects; returns whether this was news.
+   * Records a failed status call and ejects the endpoint; returns whether it was not ejected
+   * before.
    *
    * @see #isLastResort()
    */
-  synchronized boolean doubt() {
-    boolean first = !ejected;
-    boolean news = eject();
-    doubted = first;
-    return news;
+  synchronized boolean ejectAfterStatusFailure() {
+    boolean wasUsable = !ejected;
+    boolean newlyEjected = eject();
+    ejectedByStatusOnly = wasUsable;
+    return newlyEjected;
   }
 
-  /** Stops new work for a while after a failure; returns whether this was news. */
+  /** Ejects the endpoint for a while after a failure; returns whether it was not ejected before. */
   synchronized boolean eject() {
-    boolean news = !ejected;
-    doubted = false;
+    boolean newlyEjected = !ejected;
+    ejectedByStatusOnly = false;
     ejected = true;
     answeredSinceEjection = false;
-    long pause = FIRST_EJECTION.toMillis() << Math.min(failures, 6);
+    long pause = MIN_EJECTION.toMillis() << Math.min(failures, 6);
     failures++;
-    long bounded = Math.min(pause, LONGEST_EJECTION.toMillis());
+    long bounded = Math.min(pause, MAX_EJECTION.toMillis());
     ejectedUntil = clock.currentTime(NANOSECONDS) + MILLISECONDS.toNanos(bounded);
-    return news;
+    return newlyEjected;
   }
 
-  /** Remembers the newest prefixes that were run here. */
+  /** A bounded set of the prefixes that were most recently processed on the endpoint. */
   private static final class PrefixHints {
-    private final Map<Long, Boolean> newest =
+    private final Map<Long, Boolean> recentHashes =
         new LinkedHashMap<>(16, 0.75f, true) {
           private static final long serialVersionUID = 1L;
 
           @Override
           protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-            return size() > PREFIX_HINTS;
+            return size() > MAX_PREFIX_HINTS;
           }
         };
 
     void add(Iterable<Long> hashes) {
-      hashes.forEach(hash -> newest.put(hash, true));
+      hashes.forEach(hash -> recentHashes.put(hash, true));
     }
 
     double cachedShare(List<Long> hashes) {
       int hits = 0;
-      while (hits < hashes.size() && newest.containsKey(hashes.get(hits))) {
+      while (hits < hashes.size() && recentHashes.containsKey(hashes.get(hits))) {
         hits++;
       }
       return hashes.isEmpty() ? 0 : (double) hits / hashes.size();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointStatus.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointStatus.java
@@ -5,13 +5,13 @@
 import org.vaneworks.state.Endpoint;
 
 /**
- * What an endpoint reports of itself; the load lags.
+ * An endpoint's status report; its load figures lag.
  *
- * @param endpoint how it describes itself
- * @param leaving whether it wants no new work
- * @param running sessions that it held when the report was made
- * @param queued calls that waited when the report was made
- * @param reportSequence counts its load reports, so that a repeated one is known as such
+ * @param endpoint the endpoint's own description
+ * @param leaving whether it accepts no new work
+ * @param running number of sessions that it held when the report was made
+ * @param queued number of calls that were queued when the report was made
+ * @param reportSequence sequence number of the load report, which identifies a repeated report
  */
 public record EndpointStatus(
     Endpoint endpoint, boolean leaving, int running, int queued, long reportSequence) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointTable.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointTable.java
@@ -22,7 +22,7 @@
 /**
  * The endpoints that this node uses.
  *
- * <p>Thread-safe. Reads go to an immutable index that is replaced on each change, so a routing
+ * <p>Thread-safe. Reads use an immutable index that is replaced on each change, so a routing
  * decision takes no table lock.
  */
 public final class EndpointTable {
@@ -30,7 +30,7 @@
   private final EndpointLimits limits;
   private final Counters counters;
   private final IntSupplier nodes;
-  private final KindTimes kinds = new KindTimes();
+  private final StepTimesByKind timesByKind = new StepTimesByKind();
 
   @GuardedBy("this")
   private final Map<EndpointId, EndpointState> states = new LinkedHashMap<>();
@@ -51,19 +51,19 @@
   /**
    * Returns an empty table.
    *
-   * @param nodes how many nodes share the endpoints
+   * @param nodes number of nodes that share the endpoints
    */
   public static EndpointTable create(
       Executor clock, EndpointLimits limits, Counters counters, IntSupplier nodes) {
     return new EndpointTable(clock, limits, counters, nodes);
   }
 
-  /** Sets who is told of an endpoint that begins to leave. */
+  /** Sets the listener that is called when an endpoint begins to leave. */
   public void onLeaving(Consumer<EndpointState> listener) {
     leavingListener = checkNotNull(listener);
   }
 
-  /** Returns the endpoints that serve a model or plain service, by first layer. */
+  /** Returns the endpoints that serve a model or plain service, ordered by first layer. */
   public ImmutableList<EndpointState> serving(String name) {
     return byService.get(name);
   }
@@ -73,7 +73,7 @@
     return ImmutableList.copyOf(states.values());
   }
 
-  /** Returns what is known of an endpoint. */
+  /** Returns the state of an endpoint. */
   public synchronized Optional<EndpointState> find(EndpointId id) {
     return Optional.ofNullable(states.get(id));
   }
@@ -85,7 +85,7 @@
       if (known != null) {
         return known;
       }
-      EndpointState added = new EndpointState(endpoint, clock, kinds, limits, nodes);
+      EndpointState added = new EndpointState(endpoint, clock, timesByKind, limits, nodes);
       states.put(endpoint.id(), added);
       reindex();
       EventLog.info(Event.ENDPOINT_FOUND, "endpoint", endpoint.id(), "serves", endpoint.serves());
@@ -101,29 +101,32 @@
     }
   }
 
-  /** Marks an endpoint as leaving and tells the listener, once. */
-  public void leaving(EndpointState state, String source) {
+  /** Marks an endpoint as leaving and calls the listener, once. */
+  public void markLeaving(EndpointState state, String source) {
     if (state.markLeaving()) {
       EventLog.info(Event.ENDPOINT_LEAVING, "endpoint", state.endpoint().id(), "source", source);
       leavingListener.accept(state);
     }
   }
 
-  /** Stops new work to an endpoint for a while, after a call that failed. */
+  /** Ejects an endpoint for a while after a call that failed. */
   public void eject(EndpointState state, String cause) {
     if (state.eject()) {
-      noteEjection(state, cause);
+      recordEjection(state, cause);
     }
   }
 
-  /** Prefers other endpoints for a while: a status call had no answer in time. */
-  public void doubt(EndpointState state) {
-    if (state.doubt()) {
-      noteEjection(state, "status");
+  /**
+   * Ejects an endpoint for a while after a failed status call; it may still be used as a last
+   * resort.
+   */
+  public void recordStatusFailure(EndpointState state) {
+    if (state.ejectAfterStatusFailure()) {
+      recordEjection(state, "status");
     }
   }
 
-  private void noteEjection(EndpointState state, String cause) {
+  private void recordEjection(EndpointState state, String cause) {
     counters.count(Metric.EJECTIONS, cause);
     EventLog.warn(Event.ENDPOINT_EJECTED, "endpoint", state.endpoint().id(), "cause", cause);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/ServiceReply.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/ServiceReply.java
@@ -3,11 +3,11 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * A plain service's answer.
+ * The answer of a plain service.
  *
  * @param status HTTP status
  * @param contentType media type of the body
- * @param body body, empty if none
+ * @param body response body; empty if none
  */
 public record ServiceReply(int status, String contentType, String body) {
   /** Checks that every part is given. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/SessionExport.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/SessionExport.java
@@ -4,11 +4,11 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * A session's state, taken out of one engine to be put into another.
+ * A session's state, exported from one engine to be imported by another.
  *
- * @param session whose state
- * @param steps how many steps ran in it
- * @param state the engine's own form, opaque here
+ * @param session the session that was exported
+ * @param steps number of steps that ran in it
+ * @param state the state in the engine's own format, opaque to the node
  */
 public record SessionExport(SessionId session, int steps, String state) {
   /** Checks the step count. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/SessionId.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/SessionId.java
@@ -7,11 +7,11 @@
 import org.vaneworks.state.StreamId;
 
 /**
- * One lineage of one stream's state on one engine.
+ * Identifies a session: the state that an engine keeps for one stream in one epoch.
  *
- * @param stream whose
- * @param epoch counts the stream's lineages; a higher one fences the lower ones out
- * @param layers the layers that run in it
+ * @param stream the stream
+ * @param epoch counter of the stream's recoveries and moves; a higher epoch fences off lower ones
+ * @param layers the layers that run in the session
  */
 public record SessionId(StreamId stream, int epoch, LayerRange layers) {
   /** Checks the epoch. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/StepCall.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/StepCall.java
@@ -7,15 +7,15 @@
 import org.vaneworks.state.Priority;
 
 /**
- * Asks an engine to run one step of a session: the prompt, or the next token.
+ * A call to an engine to run one step of a session: the prompt or the next token.
  *
- * @param session which lineage
- * @param step 0 for the prompt, then one for each token
- * @param positions how many token positions the input stands for
- * @param input text for the first layers, else what the layers before put out
- * @param history the inputs of steps 0 to {@code step - 1}, to rebuild a lost session; else empty
- * @param historyPositions how many token positions the history stands for
- * @param priority for the engine's own queue
+ * @param session the session to run it in
+ * @param step 0 for the prompt, then incremented for each token
+ * @param positions number of token positions that the input stands for
+ * @param input text for the first layers, otherwise the output of the preceding layers
+ * @param history the inputs of steps 0 to {@code step - 1} to rebuild a lost session, or empty
+ * @param historyPositions number of token positions that the history stands for
+ * @param priority priority in the engine's own queue
  */
 public record StepCall(
     SessionId session,
@@ -25,7 +25,7 @@
     ImmutableList<String> history,
     int historyPositions,
     Priority priority) {
-  /** Checks that a history is whole or absent. */
+  /** Checks that the history is complete or empty. */
   public StepCall {
     checkNotNull(session);
     checkNotNull(input);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/StepReply.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/StepReply.java
@@ -5,10 +5,10 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * What an engine put out for one step.
+ * The output of an engine for one step.
  *
- * @param session the lineage that it ran in
- * @param step the step that it ran
+ * @param session the session that the step ran in
+ * @param step the step that ran
  * @param output input of the next layers, or the token's text after the last layer
  * @param historyOutputs outputs of the rebuilt steps; empty unless the call had a history
  */
@@ -21,7 +21,7 @@
     checkNotNull(historyOutputs);
   }
 
-  /** Returns whether this answers the call: same stream, epoch, layers, step and history. */
+  /** Returns whether this reply answers the call: its session, step and history size match. */
   public boolean answers(StepCall call) {
     return session.equals(call.session())
         && step == call.step()
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/StepTimeModel.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/StepTimeModel.java
@@ -5,27 +5,32 @@
 /**
  * Learns how an engine's step time grows with the number of sessions that it runs.
  *
- * <p>Fits {@code time = a + b * running} by least squares with exponentially fading weights, so the
- * model follows an engine or a link that degrades. Updates and predictions take constant time. Not
- * thread-safe; {@link EndpointState} guards it.
+ * <p>Fits {@code time = a + b * running} by least squares with exponentially decaying weights, so
+ * the model follows an engine or a link that degrades. Updates and predictions take constant time.
+ * Not thread-safe; guarded by {@link EndpointState} or {@link StepTimesByKind}.
  */
 final class StepTimeModel {
-  /** Weight that an observation keeps when the next one arrives: about the last 60 count. */
-  private static final double FADE = 1 - 1.0 / 60;
+  /**
+   * Factor by which the weight of past observations decays with each new one; the effective window
+   * is about 60 observations.
+   */
+  private static final double DECAY = 1 - 1.0 / 60;
 
-  /** Below this many observations the prediction is not to be relied on. */
-  private static final int TRUSTED = 8;
+  /** Minimum number of observations for a reliable prediction. */
+  private static final int MIN_OBSERVATIONS = 8;
 
-  /** Assumed growth per session, as a share of the mean, while all observations look alike. */
+  /**
+   * Assumed growth per session, as a share of the mean, while the number of sessions hardly varies.
+   */
   private static final double ASSUMED_GROWTH = 0.03;
 
-  /** Spread of {@code running} under which a slope can't be told from noise. */
+  /** Variance of {@code running} below which a slope cannot be distinguished from noise. */
   private static final double MIN_VARIANCE = 0.5;
 
-  /** Share of step times that the tail is to hold. */
+  /** Share of step times that should lie below the tail. */
   private static final double TAIL_SHARE = 0.95;
 
-  /** How far one observation moves the tail, as a share of the mean step time. */
+  /** Step by which one observation moves the tail, as a share of the mean step time. */
   private static final double TAIL_STEP = 0.1;
 
   private double weight;
@@ -37,23 +42,23 @@
   private double tail;
   private int observations;
 
-  /** Takes one step's time in milliseconds, made beside {@code running} sessions. */
+  /** Records the time in milliseconds of one step that ran with {@code running} sessions. */
   void observe(double running, double millis) {
     checkArgument(millis >= 0, "step time must not be negative: %s", millis);
     if (observations > 0) {
       double error = Math.abs(millis - predict(running));
-      deviation = FADE * deviation + (1 - FADE) * error;
+      deviation = DECAY * deviation + (1 - DECAY) * error;
       observeTail(millis - predict(running));
     }
-    weight = FADE * weight + 1;
-    sumX = FADE * sumX + running;
-    sumY = FADE * sumY + millis;
-    sumXx = FADE * sumXx + running * running;
-    sumXy = FADE * sumXy + running * millis;
+    weight = DECAY * weight + 1;
+    sumX = DECAY * sumX + running;
+    sumY = DECAY * sumY + millis;
+    sumXx = DECAY * sumXx + running * running;
+    sumXy = DECAY * sumXy + running * millis;
     observations++;
   }
 
-  /** Returns the expected time in milliseconds of a step beside {@code running} sessions. */
+  /** Returns the expected time in milliseconds of a step with {@code running} sessions. */
   double predict(double running) {
     if (weight == 0) {
       return 0;
@@ -73,24 +78,26 @@
     return Math.max(0, covariance / variance);
   }
 
-  /** Moves the tail up by much when it was exceeded and down by little when it was not. */
+  /** Raises the tail by a large step if it was exceeded and lowers it by a small step otherwise. */
   private void observeTail(double excess) {
     double step = TAIL_STEP * sumY / weight;
     tail = Math.max(0, tail + step * (excess > tail ? TAIL_SHARE : TAIL_SHARE - 1));
   }
 
-  /** Returns how far 95 in 100 step times stay within the prediction, in milliseconds. */
+  /**
+   * Returns the margin above the prediction, in milliseconds, that 95% of step times do not exceed.
+   */
   double tail() {
     return tail;
   }
 
-  /** Returns the fading mean of the prediction's error, in milliseconds. */
+  /** Returns the exponentially weighted mean of the prediction error, in milliseconds. */
   double deviation() {
     return deviation;
   }
 
-  /** Returns whether enough was observed to rely on the prediction. */
+  /** Returns whether there are enough observations to rely on the prediction. */
   boolean isTrusted() {
-    return observations >= TRUSTED;
+    return observations >= MIN_OBSERVATIONS;
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/KindTimes.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/StepTimesByKind.java
@@ -6,11 +6,12 @@
 import org.vaneworks.state.Endpoint;
 
 /**
- * Step times learned over all engines of one kind, for engines that were not used yet.
+ * Step times learned over all engines of one kind, used to predict those of engines that were not
+ * used yet.
  *
- * <p>Thread-safe; its lock is the innermost of all.
+ * <p>Thread-safe. No other lock is taken while its lock is held.
  */
-final class KindTimes {
+final class StepTimesByKind {
   private record Kind(String model, int layers, String accelerator) {
     static Kind of(Endpoint endpoint) {
       return new Kind(endpoint.serves(), endpoint.layers().get().size(), endpoint.accelerator());
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ContentGuard.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ContentGuard.java
@@ -40,12 +40,13 @@
 
   /** Returns whether the request must not be sent now. */
   boolean isHeldBack() {
-    return !context.quarantine().isEmpty() && context.quarantine().holds(content());
+    return !context.quarantine().isEmpty() && context.quarantine().isQuarantined(content());
   }
 
   /** Returns whether one more end of an endpoint would hold the request back. */
   boolean isOneEndShort() {
-    return !context.quarantine().isEmpty() && context.quarantine().isOneEndShort(content());
+    return !context.quarantine().isEmpty()
+        && context.quarantine().isOneCrashFromQuarantine(content());
   }
 
   /** Notes that the request is sent, or goes on over another path. */
@@ -59,13 +60,13 @@
     if (start.isEmpty()) {
       start = Optional.of(RequestStart.of(content()));
     }
-    context.endedEndpoints().lost(endpoint, start.get(), sinceFirstPart.orElse(sinceSent));
+    context.endedEndpoints().recordLoss(endpoint, start.get(), sinceFirstPart.orElse(sinceSent));
   }
 
   /** Notes that an endpoint answered the request whole. */
   void answered() {
     if (!context.quarantine().isEmpty()) {
-      context.quarantine().noteAnswered(content());
+      context.quarantine().recordAnswer(content());
     }
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardContext.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardContext.java
@@ -5,7 +5,7 @@
 import org.vaneworks.coordination.fleet.EngineControl;
 import org.vaneworks.coordination.fleet.Fleet;
 import org.vaneworks.coordination.fleet.HealthWatch;
-import org.vaneworks.coordination.quarantine.EndedEndpoints;
+import org.vaneworks.coordination.quarantine.CrashDetector;
 import org.vaneworks.coordination.quarantine.Quarantine;
 import org.vaneworks.coordination.relay.PathPlanner;
 import org.vaneworks.telemetry.Counters;
@@ -38,6 +38,6 @@
     WaitingLines lines,
     ResendBudget budget,
     Quarantine quarantine,
-    EndedEndpoints endedEndpoints,
+    CrashDetector endedEndpoints,
     String dataCentre,
     Counters counters) {}
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
@@ -70,7 +70,8 @@
     context.fleet().onLeaving(this::moveOff);
     context
         .quarantine()
-        .onHold(content -> ImmutableList.copyOf(running).forEach(run -> run.heldBack(content)));
+        .onQuarantined(
+            content -> ImmutableList.copyOf(running).forEach(run -> run.heldBack(content)));
   }
 
   /**
@@ -107,7 +108,7 @@
             new WaitingLines(clock),
             ResendBudget.of(limits, sharingNodes),
             quarantine.quarantine(),
-            quarantine.endpoints(),
+            quarantine.crashDetector(),
             dataCentre,
             counters);
     return new Forwarder(context, configuration, confirmedWithin, limits.keyFreshness());
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Place.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Place.java
@@ -81,7 +81,7 @@
   }
 
   boolean passes(TrackedEndpoint engine) {
-    return path.isPresent() && path.get().passes(engine);
+    return path.isPresent() && path.get().contains(engine);
   }
 
   /** Returns the engines of the path that are believed dead, the first one first. */
@@ -235,7 +235,7 @@
     next.reserve(size.tokens());
     next.parts().stream()
         .map(PathPart::engine)
-        .filter(engine -> !former.passes(engine))
+        .filter(engine -> !former.contains(engine))
         .forEach(this::noteLaterPart);
     path = Optional.of(next);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/StreamRun.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/StreamRun.java
@@ -346,9 +346,9 @@
     soFar = Verdict.RAN;
     Hop hop = hops.get(attempt.index);
     hop.ranThrough(step);
-    hop.engine().stepAnswered(attempt.call, Duration.ofNanos(now() - attempt.sentAt));
+    hop.engine().recordStep(attempt.call, Duration.ofNanos(now() - attempt.sentAt));
     if (step == 0) {
-      hop.engine().promptCached(query.prefixes());
+      hop.engine().recordCachedPrompt(query.prefixes());
     }
     int next = attempt.index + 1;
     if (next < hops.size()) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/placement/Coverage.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/placement/Coverage.java
@@ -8,10 +8,13 @@
 import org.vaneworks.state.LayerRange;
 import org.vaneworks.state.entry.ModelProfile;
 
-/** How the layers of a model are covered by what engines hold: by how many, and with what room. */
+/**
+ * Computes how many engines hold each layer of a model, and how much request memory they have for
+ * it.
+ */
 final class Coverage {
-  /** Room of an engine that counts as no room, in token layers; keeps weights finite. */
-  private static final double NEGLIGIBLE_ROOM = 1000;
+  /** Capacity, in token layers, that counts as none; keeps the weights finite. */
+  private static final double NEGLIGIBLE_CAPACITY = 1000;
 
   private final ModelProfile model;
 
@@ -20,74 +23,75 @@
   }
 
   /**
-   * Returns the room of the layer in the middle when all are ordered by it, in tokens. A newcomer
-   * most often takes the place of an engine that was lost, so it gets a room like the others'.
+   * Returns the median over all layers of their capacity, in tokens. A new engine usually replaces
+   * one that was lost, so it gets a capacity like that of the others.
    */
-  double typicalRoom(List<Holding> engines, Map<String, LayerRange> held) {
-    double[] room = room(engines, held);
-    Arrays.sort(room);
-    return room[room.length / 2];
+  double medianCapacity(List<EngineSnapshot> engines, Map<String, LayerRange> assigned) {
+    double[] capacity = capacity(engines, assigned);
+    Arrays.sort(capacity);
+    return capacity[capacity.length / 2];
   }
 
-  /** Returns the window of that many layers whose coverage is weakest. */
-  LayerRange weakest(List<Holding> engines, Map<String, LayerRange> held, int size) {
-    double[] need = need(engines, held);
+  /** Returns the range of {@code size} layers whose coverage is weakest. */
+  LayerRange leastCoveredRange(
+      List<EngineSnapshot> engines, Map<String, LayerRange> assigned, int size) {
+    double[] benefit = benefit(engines, assigned);
     double sum = 0;
     for (int layer = 0; layer < size; layer++) {
-      sum += need[layer];
+      sum += benefit[layer];
     }
-    double most = sum;
+    double maxSum = sum;
     int from = 0;
     for (int start = 1; start + size <= model.layers(); start++) {
-      sum += need[start + size - 1] - need[start - 1];
-      if (sum > most + 1e-12) {
-        most = sum;
+      sum += benefit[start + size - 1] - benefit[start - 1];
+      if (sum > maxSum + 1e-12) {
+        maxSum = sum;
         from = start;
       }
     }
     return LayerRange.of(from, from + size);
   }
 
-  /** Returns for each layer how much another holder would help: the inverse of its room. */
-  private double[] need(List<Holding> engines, Map<String, LayerRange> held) {
-    double[] room = room(engines, held);
-    double[] need = new double[room.length];
-    for (int layer = 0; layer < room.length; layer++) {
-      need[layer] = 1 / (NEGLIGIBLE_ROOM + room[layer]);
+  /** Returns for each layer the benefit of another holder: the inverse of the layer's capacity. */
+  private double[] benefit(List<EngineSnapshot> engines, Map<String, LayerRange> assigned) {
+    double[] capacity = capacity(engines, assigned);
+    double[] benefit = new double[capacity.length];
+    for (int layer = 0; layer < capacity.length; layer++) {
+      benefit[layer] = 1 / (NEGLIGIBLE_CAPACITY + capacity[layer]);
     }
-    return need;
+    return benefit;
   }
 
-  /** Returns for each layer how many tokens its holders have room for. */
-  private double[] room(List<Holding> engines, Map<String, LayerRange> held) {
-    double[] room = new double[model.layers()];
-    for (Holding engine : engines) {
-      LayerRange range = held.get(engine.id());
+  /** Returns for each layer how many tokens its holders have memory for. */
+  private double[] capacity(List<EngineSnapshot> engines, Map<String, LayerRange> assigned) {
+    double[] capacity = new double[model.layers()];
+    for (EngineSnapshot engine : engines) {
+      LayerRange range = assigned.get(engine.id());
       if (range != null) {
         double tokens = model.roomTokens(engine.accelerator(), range.size());
-        for (int layer = range.from(); layer < Math.min(range.to(), room.length); layer++) {
-          room[layer] += tokens;
+        for (int layer = range.from(); layer < Math.min(range.to(), capacity.length); layer++) {
+          capacity[layer] += tokens;
         }
       }
     }
-    return room;
+    return capacity;
   }
 
   /** Returns for each layer how many engines hold it. */
-  int[] holders(Map<String, LayerRange> held) {
-    int[] holders = new int[model.layers()];
-    for (LayerRange range : held.values()) {
-      for (int layer = range.from(); layer < Math.min(range.to(), holders.length); layer++) {
-        holders[layer]++;
+  int[] holderCounts(Map<String, LayerRange> assigned) {
+    int[] holderCounts = new int[model.layers()];
+    for (LayerRange range : assigned.values()) {
+      for (int layer = range.from(); layer < Math.min(range.to(), holderCounts.length); layer++) {
+        holderCounts[layer]++;
       }
     }
-    return holders;
+    return holderCounts;
   }
 
-  /** Returns whether each layer of a range has two holders or more. */
-  static boolean heldTwice(int[] holders, LayerRange range) {
-    for (int layer = range.from(); layer < Math.min(range.to(), holders.length); layer++) {
-      if (holders[layer] < 2) {
+  /** Returns whether each layer of the range has at least two holders. */
+  static boolean isReplicated(int[] holderCounts, LayerRange range) {
+    for (int layer = range.from(); layer < Math.min(range.to(), holderCounts.length); layer++) {
+      if (holderCounts[layer] < 2) {
         return false;
       }
     }
@@ -95,10 +99,10 @@
   }
 
   /** Returns the first layer that no engine holds, or -1. */
-  int firstHole(Map<String, LayerRange> held) {
-    int[] holders = holders(held);
-    for (int layer = 0; layer < holders.length; layer++) {
-      if (holders[layer] == 0) {
+  int firstUncoveredLayer(Map<String, LayerRange> assigned) {
+    int[] holderCounts = holderCounts(assigned);
+    for (int layer = 0; layer < holderCounts.length; layer++) {
+      if (holderCounts[layer] == 0) {
         return layer;
       }
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementController.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementController.java
@@ -35,78 +35,80 @@
 /**
  * Orders engines to hold layers while this node holds the controller's lease.
  *
- * <p>Each engine is read before it is ordered. An order that was not answered is followed by
- * another read: if the engine's count of orders rose, the order was taken; if not, the order is
+ * <p>Each engine is read before an order is sent to it. If an order is not answered, the engine is
+ * read again: if its count of orders has increased, it accepted the order; if not, the order is
  * sent again with the same count, so at most one of the two can take effect. Confined to the node's
  * event loop.
  */
 public final class PlacementController {
-  private static final Duration TICK = Duration.ofMillis(200);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(200);
 
   /**
-   * The same on a node that is not the controller, for a lease that counts as held again after a
-   * late renewal; {@link #wake} tells of a new one. All nodes but one spend it for nothing.
+   * Tick interval on a node that is not the controller. Its tick only serves a lease that becomes
+   * valid again after a late renewal, since {@link #wake} reports a newly acquired lease, and every
+   * node but one pays for it.
    */
-  private static final Duration IDLE_TICK = Duration.ofSeconds(2);
+  private static final Duration IDLE_TICK_INTERVAL = Duration.ofSeconds(2);
 
   /**
-   * A look begins to plan no further data centre after this time; the next look does. Requests and
-   * the controller's lease wait meanwhile: on a box of a third of a core, five data centres of 43
-   * engines take 2 s at their first placement.
+   * Planning time per tick: after it no further data centre is planned until the next tick.
+   * Planning delays requests and the renewal of the controller's lease: on a box with a third of a
+   * core, the initial placement of five data centres with 43 engines takes 2 s.
    */
-  private static final Duration LONGEST_LOOK = Duration.ofMillis(100);
+  private static final Duration MAX_PLANNING_TIME = Duration.ofMillis(100);
 
-  /** An engine answers in a few ms; the platform's slowest days are under this. */
-  private static final Duration CALL_LIMIT = Duration.ofMillis(600);
+  /** Timeout of a call to an engine, which normally answers within a few ms. */
+  private static final Duration CALL_TIMEOUT = Duration.ofMillis(600);
 
   /**
-   * Pauses between reads of the list without a new engine, after which the first placement is made:
-   * one read may bring none between others. Engines come into the list over some seconds; a
-   * placement of a part of them cuts the model unlike the rest, and is never undone.
+   * Number of list read intervals without a new engine after which the initial placement is made.
+   * Engines join the list over some seconds, and a single read may show no new one. A placement of
+   * only some of the engines divides the model differently and is never undone, so one interval is
+   * not enough.
    */
-  private static final double SETTLED_PAUSES = 2.5;
+  private static final double SETTLED_READ_INTERVALS = 2.5;
 
-  /** Time for the read itself. */
-  private static final Duration READ = Duration.ofMillis(50);
+  /** Duration of the read itself. */
+  private static final Duration READ_TIME = Duration.ofMillis(50);
 
-  /** How long after an accepted order the list may still show the old layers. */
-  private static final Duration LIST_LAG = Duration.ofMillis(2500);
+  /** Time after an accepted order during which the list may still show the old layers. */
+  private static final Duration MAX_LIST_LAG = Duration.ofMillis(2500);
 
   private final Executor clock;
   private final Fleet fleet;
   private final EngineControl control;
   private final Supplier<Optional<EntryConfiguration>> configuration;
   private final Supplier<OptionalLong> fence;
-  private final Supplier<Duration> listPause;
+  private final Supplier<Duration> listReadInterval;
   private final Counters counters;
   private final Map<TrackedEndpoint, Assignment> assignments = new HashMap<>();
-  private final Map<String, PlanInput> settledInputs = new HashMap<>();
-  private OptionalLong actingAs = OptionalLong.empty();
-  private long fencedOff = -1;
+  private final Map<String, PlanInput> inputsWithoutOrders = new HashMap<>();
+  private OptionalLong currentFence = OptionalLong.empty();
+  private long rejectedFence = -1;
 
-  /** The fence under which the assignments were decided. */
-  private long decidedAs = -1;
+  /** Fence under which {@link #assignments} were decided. */
+  private long assignmentsFence = -1;
 
   private int engineCount;
   private long engineCountChangedAt;
   private Cancellable timer = () -> {};
   private boolean stopped;
 
-  /** What a plan is made from, and nothing else; equal inputs give equal plans. */
-  private record PlanInput(ModelProfile model, ImmutableList<Holding> holdings) {}
+  /** The complete input of a plan; equal inputs give equal plans. */
+  private record PlanInput(ModelProfile model, ImmutableList<EngineSnapshot> snapshots) {}
 
   private static final class Assignment {
     final LayerRange layers;
-    final Optional<LayerRange> heldBefore;
+    final Optional<LayerRange> layersBefore;
     final long decidedAt;
-    boolean callOpen;
+    boolean callPending;
     boolean sent;
     boolean accepted;
     long expiresAt;
 
-    Assignment(LayerRange layers, Optional<LayerRange> heldBefore, long decidedAt) {
+    Assignment(LayerRange layers, Optional<LayerRange> layersBefore, long decidedAt) {
       this.layers = layers;
-      this.heldBefore = heldBefore;
+      this.layersBefore = layersBefore;
       this.decidedAt = decidedAt;
     }
 
@@ -115,23 +117,23 @@
     }
 
     /**
-     * Returns whether the engine holds more than when this was decided: another order came first,
-     * and the engine has other layers to lose now.
+     * Returns whether the engine holds layers that it did not hold when the assignment was decided:
+     * another order took effect first, so this one would make it give up other layers.
      */
-    boolean isOvertaken(Optional<LayerRange> listed) {
-      return listed.isPresent() && !isPartOfHeldBefore(listed.get());
+    boolean isSuperseded(Optional<LayerRange> listed) {
+      return listed.isPresent() && !wasHeldBefore(listed.get());
     }
 
     /**
-     * Returns whether the engine was to give layers up, and could not be told so. Why it should may
-     * be over by the time it can: that is decided anew.
+     * Returns whether the engine was to give up layers, but the order could not be sent. The reason
+     * may no longer hold when it can be sent, so it is planned again.
      */
-    boolean isUntold() {
-      return heldBefore.isPresent() && !sent && !callOpen && !accepted;
+    boolean isUnsentRelease() {
+      return layersBefore.isPresent() && !sent && !callPending && !accepted;
     }
 
-    private boolean isPartOfHeldBefore(LayerRange listed) {
-      return heldBefore.isPresent() && heldBefore.get().encloses(listed);
+    private boolean wasHeldBefore(LayerRange listed) {
+      return layersBefore.isPresent() && layersBefore.get().encloses(listed);
     }
   }
 
@@ -141,14 +143,14 @@
       EngineControl control,
       Supplier<Optional<EntryConfiguration>> configuration,
       Supplier<OptionalLong> fence,
-      Supplier<Duration> listPause,
+      Supplier<Duration> listReadInterval,
       Counters counters) {
     this.clock = checkNotNull(clock);
     this.fleet = checkNotNull(fleet);
     this.control = checkNotNull(control);
     this.configuration = checkNotNull(configuration);
     this.fence = checkNotNull(fence);
-    this.listPause = checkNotNull(listPause);
+    this.listReadInterval = checkNotNull(listReadInterval);
     this.counters = checkNotNull(counters);
   }
 
@@ -156,7 +158,7 @@
    * Returns a controller that does nothing before {@link #start}.
    *
    * @param fence present while this node holds the lease; higher for each later holder
-   * @param listPause the longest time between two reads of the list of endpoints
+   * @param listReadInterval maximum time between two reads of the list of endpoints
    */
   public static PlacementController create(
       Executor clock,
@@ -164,153 +166,169 @@
       EngineControl control,
       Supplier<Optional<EntryConfiguration>> configuration,
       Supplier<OptionalLong> fence,
-      Supplier<Duration> listPause,
+      Supplier<Duration> listReadInterval,
       Counters counters) {
     return new PlacementController(
-        clock, fleet, control, configuration, fence, listPause, counters);
+        clock, fleet, control, configuration, fence, listReadInterval, counters);
   }
 
-  /** Begins; looks at the fleet at short intervals while this node is the controller. */
+  /**
+   * Starts the controller, which checks the fleet at short intervals while this node holds the
+   * lease.
+   */
   public void start() {
     fleet.onRemoval(assignments::remove);
     engineCountChangedAt = now();
     wake();
   }
 
-  /** Takes note that this node may have become the controller. */
+  /** Notifies the controller that this node may have acquired the lease. */
   public void wake() {
-    tickAfter(TICK);
+    scheduleTick(TICK_INTERVAL);
   }
 
-  /** Gives no further order. */
+  /** Stops the controller; it sends no further order. */
   public void stop() {
     stopped = true;
   }
 
-  private void tickAfter(Duration wait) {
+  private void scheduleTick(Duration delay) {
     timer.cancel();
-    timer = clock.schedule(this::tick, wait.toNanos(), NANOSECONDS);
+    timer = clock.schedule(this::tick, delay.toNanos(), NANOSECONDS);
   }
 
   private void tick() {
     if (stopped) {
       return;
     }
-    OptionalLong now = fence.get();
-    if (now.isPresent() && now.getAsLong() == fencedOff) {
-      now = OptionalLong.empty();
+    OptionalLong current = fence.get();
+    if (current.isPresent() && current.getAsLong() == rejectedFence) {
+      current = OptionalLong.empty();
     }
-    if (!now.equals(actingAs)) {
-      actingAs = now;
-      if (now.isPresent()) {
-        EventLog.info(Event.PLACEMENT_CONTROLLER, "fence", now.getAsLong());
-        forgetOrdersBefore(now.getAsLong());
+    if (!current.equals(currentFence)) {
+      currentFence = current;
+      if (current.isPresent()) {
+        EventLog.info(Event.PLACEMENT_CONTROLLER, "fence", current.getAsLong());
+        discardAssignmentsOfOtherFences(current.getAsLong());
       }
     }
-    tickAfter(actingAs.isPresent() ? TICK : IDLE_TICK);
-    if (actingAs.isPresent()) {
-      configuration.get().ifPresent(this::look);
+    scheduleTick(currentFence.isPresent() ? TICK_INTERVAL : IDLE_TICK_INTERVAL);
+    if (currentFence.isPresent()) {
+      configuration.get().ifPresent(this::reconcile);
     }
   }
 
-  /** Under the same fence nobody else gave orders, however late the lease was renewed. */
-  private void forgetOrdersBefore(long current) {
-    if (current != decidedAs) {
+  /**
+   * Discards assignments that were decided under another fence. Under the same fence no other node
+   * gave orders, even if the lease was renewed late.
+   */
+  private void discardAssignmentsOfOtherFences(long current) {
+    if (current != assignmentsFence) {
       assignments.clear();
     }
-    decidedAs = current;
+    assignmentsFence = current;
   }
 
-  private void look(EntryConfiguration configured) {
+  private void reconcile(EntryConfiguration configured) {
     for (ServiceProfile service : configured.engineServices()) {
-      lookAt(service, service.model().get());
+      reconcileService(service, service.model().get());
     }
   }
 
-  private void lookAt(ServiceProfile service, ModelProfile model) {
+  private void reconcileService(ServiceProfile service, ModelProfile model) {
     ImmutableList<TrackedEndpoint> engines = fleet.of(service.name());
-    if (!settled(engines)) {
+    if (!isListSettled(engines)) {
       return;
     }
     ImmutableMap.Builder<String, TrackedEndpoint> byId = ImmutableMap.builder();
-    ImmutableList.Builder<Holding> holdings = ImmutableList.builder();
+    ImmutableList.Builder<EngineSnapshot> allSnapshots = ImmutableList.builder();
     for (TrackedEndpoint engine : engines) {
       Optional<AcceleratorProfile> kind = model.accelerator(engine.endpoint().accelerator());
       if (kind.isPresent()) {
         byId.put(engine.endpoint().id(), engine);
-        holdings.add(holding(engine, kind.get()));
+        allSnapshots.add(snapshot(engine, kind.get()));
       }
     }
-    ImmutableMap<String, TrackedEndpoint> known = byId.buildOrThrow();
-    long begunAt = now();
-    Multimaps.index(holdings.build(), Holding::dataCentre)
+    ImmutableMap<String, TrackedEndpoint> enginesById = byId.buildOrThrow();
+    long startedAt = now();
+    Multimaps.index(allSnapshots.build(), EngineSnapshot::dataCentre)
         .asMap()
         .forEach(
-            (centre, held) -> {
-              PlanInput input = new PlanInput(model, ImmutableList.copyOf(held));
-              String key = service.name() + "/" + centre;
-              if (!input.equals(settledInputs.get(key)) && !overdue(begunAt)) {
-                plan(key, input, known);
+            (dataCentre, snapshots) -> {
+              PlanInput input = new PlanInput(model, ImmutableList.copyOf(snapshots));
+              String key = service.name() + "/" + dataCentre;
+              if (!input.equals(inputsWithoutOrders.get(key))
+                  && !isPlanningTimeExceeded(startedAt)) {
+                plan(key, input, enginesById);
               }
             });
-    assignments.forEach(this::pursue);
+    assignments.forEach(this::readAndOrder);
   }
 
-  private boolean overdue(long begunAt) {
-    return now() - begunAt >= LONGEST_LOOK.toNanos();
+  private boolean isPlanningTimeExceeded(long startedAt) {
+    return now() - startedAt >= MAX_PLANNING_TIME.toNanos();
   }
 
-  /** Plans the engines of one data centre: what others hold makes no difference there. */
-  private void plan(String key, PlanInput input, ImmutableMap<String, TrackedEndpoint> known) {
+  /**
+   * Plans the engines of one data centre, which does not depend on what engines of other data
+   * centres hold.
+   */
+  private void plan(
+      String key, PlanInput input, ImmutableMap<String, TrackedEndpoint> enginesById) {
     ImmutableMap<String, LayerRange> plan =
         PlacementPlanner.of(input.model())
-            .plan(input.holdings(), id -> known.get(id).requestsOfAll());
-    plan.forEach((id, layers) -> assign(known.get(id), layers));
-    // Only an input that asked for nothing asks for nothing again: orders may be refused.
+            .plan(input.snapshots(), id -> enginesById.get(id).requestsOfAll());
+    plan.forEach((id, layers) -> assign(enginesById.get(id), layers));
+    // Only an input that leads to no order is remembered: an order may be refused and must be
+    // planned again.
     if (plan.isEmpty()) {
-      settledInputs.put(key, input);
+      inputsWithoutOrders.put(key, input);
     }
   }
 
-  /** Returns whether the list has stopped growing, so that a first placement sees all engines. */
-  private boolean settled(ImmutableList<TrackedEndpoint> engines) {
+  /**
+   * Returns whether the list has stopped growing, so that the initial placement includes all
+   * engines.
+   */
+  private boolean isListSettled(ImmutableList<TrackedEndpoint> engines) {
     if (engines.size() != engineCount) {
       engineCount = engines.size();
       engineCountChangedAt = now();
     }
-    boolean anyHeld = engines.stream().anyMatch(e -> e.endpoint().layers().isPresent());
-    double settledAfter = READ.toNanos() + SETTLED_PAUSES * listPause.get().toNanos();
-    return !engines.isEmpty() && (anyHeld || now() - engineCountChangedAt >= settledAfter);
+    boolean anyLayersHeld = engines.stream().anyMatch(e -> e.endpoint().layers().isPresent());
+    double settledAfter =
+        READ_TIME.toNanos() + SETTLED_READ_INTERVALS * listReadInterval.get().toNanos();
+    return !engines.isEmpty() && (anyLayersHeld || now() - engineCountChangedAt >= settledAfter);
   }
 
-  private Holding holding(TrackedEndpoint engine, AcceleratorProfile kind) {
+  private EngineSnapshot snapshot(TrackedEndpoint engine, AcceleratorProfile kind) {
     Optional<LayerRange> listed = engine.endpoint().layers();
-    endIfOver(engine, listed);
+    updateAssignment(engine, listed);
     Optional<LayerRange> planned =
         Optional.ofNullable(assignments.get(engine)).map(assignment -> assignment.layers);
-    boolean counts = !engine.endpoint().leaving() && !engine.suspected();
-    return new Holding(
+    boolean available = !engine.endpoint().leaving() && !engine.suspected();
+    return new EngineSnapshot(
         engine.endpoint().id(),
         engine.endpoint().dataCentre(),
         kind,
         planned.or(() -> listed),
         listed,
-        counts);
+        available);
   }
 
-  private void endIfOver(TrackedEndpoint engine, Optional<LayerRange> listed) {
+  private void updateAssignment(TrackedEndpoint engine, Optional<LayerRange> listed) {
     Assignment assignment = assignments.get(engine);
     if (assignment == null) {
       return;
     }
     if (assignment.accepted && now() > assignment.expiresAt) {
-      // It is read again: it may still wait for requests that pass the layers it gives up.
+      // The engine is read again: it may still wait for requests that use the layers it gives up.
       assignment.accepted = false;
     }
     if (assignment.isDone(listed)) {
-      counters.record(Metric.PLACEMENT_TIME, since(assignment.decidedAt));
+      counters.record(Metric.PLACEMENT_TIME, elapsedSince(assignment.decidedAt));
       assignments.remove(engine);
-    } else if (assignment.isOvertaken(listed) || assignment.isUntold()) {
+    } else if (assignment.isSuperseded(listed) || assignment.isUnsentRelease()) {
       assignments.remove(engine);
     }
   }
@@ -325,52 +343,52 @@
         "held",
         engine.endpoint().layers().map(Object::toString).orElse("none"),
         "fence",
-        actingAs.getAsLong());
+        currentFence.getAsLong());
     assignments.put(engine, new Assignment(layers, engine.endpoint().layers(), now()));
   }
 
-  private void pursue(TrackedEndpoint engine, Assignment assignment) {
-    if (assignment.callOpen || assignment.accepted || engine.suspected()) {
+  private void readAndOrder(TrackedEndpoint engine, Assignment assignment) {
+    if (assignment.callPending || assignment.accepted || engine.suspected()) {
       return;
     }
     if (!fleet.statements().admits(engine, CallPurpose.PLACEMENT)) {
       return;
     }
-    assignment.callOpen = true;
+    assignment.callPending = true;
     counters.count(Metric.ENGINE_QUESTIONS, "placement");
     fleet.statements().noteCall(engine, CallPurpose.PLACEMENT);
     Async.onDone(
-        control.report(engine.endpoint(), CALL_LIMIT),
+        control.report(engine.endpoint(), CALL_TIMEOUT),
         clock,
         (report, failure) -> {
           if (failure != null) {
-            assignment.callOpen = false;
+            assignment.callPending = false;
             EventLog.info(
                 Event.ORDER_UNANSWERED, "endpoint", engine.endpoint().id(), "cause", failure);
           } else {
-            order(engine, assignment, report);
+            sendOrder(engine, assignment, report);
           }
         });
   }
 
-  private void order(TrackedEndpoint engine, Assignment assignment, EngineReport report) {
+  private void sendOrder(TrackedEndpoint engine, Assignment assignment, EngineReport report) {
     boolean sameRun = fleet.isSameRun(engine, report.incarnation());
-    if (!sameRun || assignments.get(engine) != assignment || actingAs.isEmpty() || stopped) {
-      // What was decided for a former run is not ordered of the next one.
-      assignment.callOpen = false;
+    if (!sameRun || assignments.get(engine) != assignment || currentFence.isEmpty() || stopped) {
+      // An order that was decided for an earlier incarnation is not sent to the next one.
+      assignment.callPending = false;
       return;
     }
     if (!fleet.statements().admits(engine, CallPurpose.PLACEMENT)) {
-      assignment.callOpen = false;
+      assignment.callPending = false;
       return;
     }
     if (report.orderInProgress() || !report.layers().equals(engine.endpoint().layers())) {
-      // Another controller's order is under way or done; the list will show it.
-      accepted(assignment);
-      assignment.callOpen = false;
+      // An order of another controller is in progress or completed; the list will show it.
+      markAccepted(assignment);
+      assignment.callPending = false;
       return;
     }
-    OrderGuard guard = new OrderGuard(actingAs.getAsLong(), report.ordersTaken());
+    OrderGuard guard = new OrderGuard(currentFence.getAsLong(), report.ordersTaken());
     long orderedAt = now();
     assignment.sent = true;
     fleet.statements().noteCall(engine, CallPurpose.PLACEMENT);
@@ -378,8 +396,8 @@
         control.hold(engine.endpoint(), assignment.layers, guard),
         clock,
         (outcome, failure) -> {
-          assignment.callOpen = false;
-          counters.record(Metric.ORDER_TIME, since(orderedAt));
+          assignment.callPending = false;
+          counters.record(Metric.ORDER_TIME, elapsedSince(orderedAt));
           if (failure != null) {
             counters.count(Metric.ORDERS, "unanswered");
             EventLog.warn(
@@ -391,12 +409,12 @@
                 "cause",
                 failure);
           } else {
-            answered(engine, assignment, guard, outcome);
+            handleOutcome(engine, assignment, guard, outcome);
           }
         });
   }
 
-  private void answered(
+  private void handleOutcome(
       TrackedEndpoint engine, Assignment assignment, OrderGuard guard, OrderOutcome outcome) {
     counters.count(Metric.ORDERS, outcome.name().toLowerCase(java.util.Locale.ROOT));
     EventLog.info(
@@ -412,20 +430,22 @@
         "outcome",
         outcome);
     if (outcome == OrderOutcome.ACCEPTED) {
-      accepted(assignment);
+      markAccepted(assignment);
     } else if (outcome == OrderOutcome.FENCED) {
-      fencedOff = guard.fence();
+      rejectedFence = guard.fence();
     } else {
       assignments.remove(engine, assignment);
     }
   }
 
-  private void accepted(Assignment assignment) {
+  private void markAccepted(Assignment assignment) {
     assignment.accepted = true;
-    assignment.expiresAt = now() + LIST_LAG.toNanos() + loadTime(assignment.layers).toNanos();
+    assignment.expiresAt = now() + MAX_LIST_LAG.toNanos() + loadTime(assignment.layers).toNanos();
   }
 
-  /** Returns the longest that a load may take, with others waiting for the same weights. */
+  /**
+   * Returns the maximum time of loading that many layers while other engines load the same weights.
+   */
   private Duration loadTime(LayerRange layers) {
     double slowest =
         configuration.get().stream()
@@ -440,8 +460,8 @@
     return Duration.ofMillis((long) (slowest * 3000));
   }
 
-  private Duration since(long then) {
-    return Duration.ofNanos(now() - then);
+  private Duration elapsedSince(long startNanos) {
+    return Duration.ofNanos(now() - startNanos);
   }
 
   private long now() {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementPlanner.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementPlanner.java
@@ -19,29 +19,30 @@
 import org.vaneworks.state.entry.ModelProfile;
 
 /**
- * Computes which layers engines should hold.
+ * Computes which layers the engines should hold.
  *
- * <p>In each data centre the fastest engines make whole copies of the model, each with room for a
- * number of requests; engines that are left over hold the layers again, so that the loss of an
- * engine leaves a path without an order. How much room copies and spares get is searched: of some
- * dozen placements the one of the highest {@link PlacementValue} is taken ({@link FirstPlacement}).
- * What engines hold already is never changed except to cover layers that no engine of the data
- * centre holds any more, and no engine gives up what no other serves yet. Pure: no state, no clock.
+ * <p>In each data centre the fastest engines form replicas of the model, each with capacity for a
+ * number of requests. The remaining engines hold layers again, so that after the loss of an engine
+ * a path still exists without any order. {@link InitialPlacement} searches the capacities of
+ * replicas and spares: it builds some dozen placements and takes the one with the highest {@link
+ * PlacementScorer} score. Ranges that engines hold already are changed only to cover layers that no
+ * engine of the data centre holds any more, and no engine gives up layers that no other engine
+ * serves yet. The planner is stateless.
  */
 public final class PlacementPlanner {
   /**
-   * Weight of the worth after a loss for a newcomer. It comes for an engine that was lost, or
-   * before one of its kind leaves: a range that would be missed is worth more than more room.
+   * Weight of the score after a loss when a new engine is placed. A new engine replaces one that
+   * was lost, or starts before one of its kind leaves, so redundancy counts more than capacity.
    */
-  private static final double NEWCOMER_AFTER_LOSS = 0.75;
+  private static final double NEW_ENGINE_FAILURE_WEIGHT = 0.75;
 
   private final ModelProfile model;
-  private final EngineSizes sizes;
+  private final EngineSizing sizes;
   private final Coverage coverage;
 
   private PlacementPlanner(ModelProfile model) {
     this.model = checkNotNull(model);
-    sizes = new EngineSizes(model);
+    sizes = new EngineSizing(model);
     coverage = new Coverage(model);
   }
 
@@ -51,181 +52,199 @@
   }
 
   /**
-   * Returns the ranges of engines that hold nothing yet, and wider ranges where no engine covers
-   * some layers; engines that need no order are left out.
+   * Returns the ranges to order: for engines that hold nothing yet, and wider ranges where no
+   * engine covers some layers. Engines that need no order are left out.
    *
-   * @param passing requests that pass an engine, by its id; decides only which of several engines
-   *     gives its layers up, since it has to wait for those requests
+   * @param requests number of requests whose path includes the engine with the given id; only
+   *     decides which of several engines gives up its layers, since that engine has to wait for
+   *     those requests
    */
   public ImmutableMap<String, LayerRange> plan(
-      List<Holding> engines, ToDoubleFunction<String> passing) {
-    ImmutableListMultimap<String, Holding> byCentre = Multimaps.index(engines, Holding::dataCentre);
+      List<EngineSnapshot> engines, ToDoubleFunction<String> requests) {
+    ImmutableListMultimap<String, EngineSnapshot> byDataCentre =
+        Multimaps.index(engines, EngineSnapshot::dataCentre);
     ImmutableMap.Builder<String, LayerRange> orders = ImmutableMap.builder();
-    for (String centre : byCentre.keySet()) {
-      orders.putAll(planCentre(byCentre.get(centre), passing));
+    for (String dataCentre : byDataCentre.keySet()) {
+      orders.putAll(planDataCentre(byDataCentre.get(dataCentre), requests));
     }
     return orders.buildOrThrow();
   }
 
-  private Map<String, LayerRange> planCentre(
-      ImmutableList<Holding> engines, ToDoubleFunction<String> passing) {
-    ImmutableList<Holding> counted =
-        engines.stream().filter(Holding::counts).collect(ImmutableList.toImmutableList());
-    boolean nothingHeld = counted.stream().allMatch(engine -> engine.layers().isEmpty());
-    return nothingHeld ? new FirstPlacement(model).of(counted) : fill(counted, passing);
+  private Map<String, LayerRange> planDataCentre(
+      ImmutableList<EngineSnapshot> engines, ToDoubleFunction<String> requests) {
+    ImmutableList<EngineSnapshot> available =
+        engines.stream().filter(EngineSnapshot::available).collect(ImmutableList.toImmutableList());
+    boolean noneHeld = available.stream().allMatch(engine -> engine.targetLayers().isEmpty());
+    return noneHeld
+        ? new InitialPlacement(model).plan(available)
+        : placeNewEngines(available, requests);
   }
 
-  /** Gives empty engines the layers that are covered worst, then covers what no engine holds. */
-  private Map<String, LayerRange> fill(
-      ImmutableList<Holding> engines, ToDoubleFunction<String> passing) {
+  /**
+   * Assigns the least covered layers to engines that hold none, then covers layers that no engine
+   * holds.
+   */
+  private Map<String, LayerRange> placeNewEngines(
+      ImmutableList<EngineSnapshot> engines, ToDoubleFunction<String> requests) {
     Map<String, LayerRange> orders = new LinkedHashMap<>();
-    Map<String, LayerRange> held = new HashMap<>();
-    for (Holding engine : engines) {
-      engine.layers().ifPresent(range -> held.put(engine.id(), range));
+    Map<String, LayerRange> assigned = new HashMap<>();
+    for (EngineSnapshot engine : engines) {
+      engine.targetLayers().ifPresent(range -> assigned.put(engine.id(), range));
     }
-    for (Holding engine : engines) {
-      if (engine.layers().isEmpty()) {
-        LayerRange range = mostValuable(engines, held, engine);
+    for (EngineSnapshot engine : engines) {
+      if (engine.targetLayers().isEmpty()) {
+        LayerRange range = bestRange(engines, assigned, engine);
         orders.put(engine.id(), range);
-        held.put(engine.id(), range);
+        assigned.put(engine.id(), range);
       }
     }
-    cover(engines, held, orders, passing);
+    coverGaps(engines, assigned, orders, requests);
     return orders;
   }
 
   /**
-   * Returns the range of a newcomer: the one with the least room, or, if it is worth more, beside
-   * an engine of its own kind. In a planned replacement the newcomer starts before the old engine,
-   * most often one of its kind, says that it leaves.
+   * Returns the range for a new engine: the range with the least capacity, or the range of an
+   * engine of its own kind if that scores higher. In a planned replacement the new engine starts
+   * before the old engine, usually one of its kind, announces that it leaves.
    */
-  private LayerRange mostValuable(
-      List<Holding> engines, Map<String, LayerRange> held, Holding newcomer) {
-    int layers = sizes.layersFor(newcomer.accelerator(), coverage.typicalRoom(engines, held));
-    PlacementValue value = new PlacementValue(model, NEWCOMER_AFTER_LOSS);
-    LayerRange best = coverage.weakest(engines, held, layers);
-    double bestValue = value.of(engines, with(held, newcomer, best));
-    for (LayerRange range : rangesOfItsKind(engines, held, newcomer)) {
-      double worth = value.of(engines, with(held, newcomer, range));
-      if (worth > bestValue) {
+  private LayerRange bestRange(
+      List<EngineSnapshot> engines, Map<String, LayerRange> assigned, EngineSnapshot newEngine) {
+    int layers =
+        sizes.layersFor(newEngine.accelerator(), coverage.medianCapacity(engines, assigned));
+    PlacementScorer scorer = new PlacementScorer(model, NEW_ENGINE_FAILURE_WEIGHT);
+    LayerRange best = coverage.leastCoveredRange(engines, assigned, layers);
+    double bestScore = scorer.score(engines, withRange(assigned, newEngine, best));
+    for (LayerRange range : rangesOfSameKind(engines, assigned, newEngine)) {
+      double score = scorer.score(engines, withRange(assigned, newEngine, range));
+      if (score > bestScore) {
         best = range;
-        bestValue = worth;
+        bestScore = score;
       }
     }
     return best;
   }
 
-  private static Map<String, LayerRange> with(
-      Map<String, LayerRange> held, Holding engine, LayerRange range) {
-    Map<String, LayerRange> more = new HashMap<>(held);
-    more.put(engine.id(), range);
-    return more;
+  private static Map<String, LayerRange> withRange(
+      Map<String, LayerRange> assigned, EngineSnapshot engine, LayerRange range) {
+    Map<String, LayerRange> extended = new HashMap<>(assigned);
+    extended.put(engine.id(), range);
+    return extended;
   }
 
-  private static ImmutableSet<LayerRange> rangesOfItsKind(
-      List<Holding> engines, Map<String, LayerRange> held, Holding newcomer) {
+  private static ImmutableSet<LayerRange> rangesOfSameKind(
+      List<EngineSnapshot> engines, Map<String, LayerRange> assigned, EngineSnapshot newEngine) {
     return engines.stream()
-        .filter(engine -> engine.accelerator().equals(newcomer.accelerator()))
-        .map(engine -> held.get(engine.id()))
+        .filter(engine -> engine.accelerator().equals(newEngine.accelerator()))
+        .map(engine -> assigned.get(engine.id()))
         .filter(Objects::nonNull)
         .collect(ImmutableSet.toImmutableSet());
   }
 
   /**
-   * Covers layers that no engine holds or is ordered to hold: first by engines whose layers others
-   * serve too, then by wider ranges beside the hole. Each step covers a layer, so the loop ends.
+   * Covers layers that no engine holds or was ordered to hold: first with engines whose layers are
+   * also served by others, then by widening an adjacent range. Each step covers a layer, so the
+   * loop terminates.
    */
-  private void cover(
-      List<Holding> engines,
-      Map<String, LayerRange> held,
+  private void coverGaps(
+      List<EngineSnapshot> engines,
+      Map<String, LayerRange> assigned,
       Map<String, LayerRange> orders,
-      ToDoubleFunction<String> passing) {
-    int hole = coverage.firstHole(held);
-    while (hole >= 0) {
-      Optional<Holding> redundant = redundant(engines, held, passing);
-      Optional<Holding> neighbour =
-          redundant.isPresent() ? Optional.empty() : roomiestBeside(engines, held, hole);
+      ToDoubleFunction<String> requests) {
+    int gap = coverage.firstUncoveredLayer(assigned);
+    while (gap >= 0) {
+      Optional<EngineSnapshot> redundant = redundant(engines, assigned, requests);
+      Optional<EngineSnapshot> neighbour =
+          redundant.isPresent() ? Optional.empty() : bestNeighbour(engines, assigned, gap);
       if (redundant.isPresent()) {
         int layers =
-            sizes.layersFor(redundant.get().accelerator(), coverage.typicalRoom(engines, held));
-        int from = Math.min(hole, model.layers() - layers);
-        order(redundant.get(), LayerRange.of(from, from + layers), held, orders);
+            sizes.layersFor(
+                redundant.get().accelerator(), coverage.medianCapacity(engines, assigned));
+        int from = Math.min(gap, model.layers() - layers);
+        order(redundant.get(), LayerRange.of(from, from + layers), assigned, orders);
       } else if (neighbour.isPresent()) {
-        LayerRange range = held.get(neighbour.get().id());
+        LayerRange range = assigned.get(neighbour.get().id());
         LayerRange wider =
-            LayerRange.of(Math.min(range.from(), hole), Math.max(range.to(), hole + 1));
-        order(neighbour.get(), wider, held, orders);
+            LayerRange.of(Math.min(range.from(), gap), Math.max(range.to(), gap + 1));
+        order(neighbour.get(), wider, assigned, orders);
       } else {
         return;
       }
-      hole = coverage.firstHole(held);
+      gap = coverage.firstUncoveredLayer(assigned);
     }
   }
 
   private static void order(
-      Holding engine,
+      EngineSnapshot engine,
       LayerRange range,
-      Map<String, LayerRange> held,
+      Map<String, LayerRange> assigned,
       Map<String, LayerRange> orders) {
-    held.put(engine.id(), range);
+    assigned.put(engine.id(), range);
     orders.put(engine.id(), range);
   }
 
   /**
-   * Returns the engine with the fewest requests among those whose layers are all held by others
-   * too, and what it serves of them is served by others; of several the slowest. It gives its
-   * layers up only once those requests have ended: with dozens of them that took 7 to 11 s, in
-   * which the hole stayed open.
+   * Returns the engine with the fewest requests among those whose layers are all held by other
+   * engines and whose served layers are all served by other engines; of several, the slowest. An
+   * engine gives up its layers only after its requests have ended: with dozens of requests that
+   * took 7 to 11 s, during which the gap stayed open.
    */
-  private Optional<Holding> redundant(
-      List<Holding> engines, Map<String, LayerRange> held, ToDoubleFunction<String> passing) {
-    ImmutableMap<String, LayerRange> served = served(engines, held);
-    int[] holders = coverage.holders(held);
-    int[] servers = coverage.holders(served);
+  private Optional<EngineSnapshot> redundant(
+      List<EngineSnapshot> engines,
+      Map<String, LayerRange> assigned,
+      ToDoubleFunction<String> requests) {
+    ImmutableMap<String, LayerRange> served = served(engines, assigned);
+    int[] holderCounts = coverage.holderCounts(assigned);
+    int[] serverCounts = coverage.holderCounts(served);
     return engines.stream()
-        .filter(engine -> isHeldTwice(holders, held, engine))
-        .filter(engine -> !served.containsKey(engine.id()) || isHeldTwice(servers, served, engine))
+        .filter(engine -> isReplicated(holderCounts, assigned, engine))
+        .filter(
+            engine ->
+                !served.containsKey(engine.id()) || isReplicated(serverCounts, served, engine))
         .min(
-            Comparator.comparingDouble((Holding e) -> passing.applyAsDouble(e.id()))
+            Comparator.comparingDouble((EngineSnapshot e) -> requests.applyAsDouble(e.id()))
                 .thenComparingDouble(e -> -e.accelerator().stepFactor())
-                .thenComparing(Holding::id));
+                .thenComparing(EngineSnapshot::id));
   }
 
-  private static boolean isHeldTwice(int[] holders, Map<String, LayerRange> held, Holding engine) {
-    LayerRange range = held.get(engine.id());
-    return range != null && Coverage.heldTwice(holders, range);
+  private static boolean isReplicated(
+      int[] holderCounts, Map<String, LayerRange> assigned, EngineSnapshot engine) {
+    LayerRange range = assigned.get(engine.id());
+    return range != null && Coverage.isReplicated(holderCounts, range);
   }
 
-  /** Returns what engines serve now and are not to give up: an order may fail, or take long. */
+  /**
+   * Returns the layers that the engines serve now and continue to serve. Orders that are still in
+   * progress do not count, because an order may fail or take long.
+   */
   private static ImmutableMap<String, LayerRange> served(
-      List<Holding> engines, Map<String, LayerRange> held) {
+      List<EngineSnapshot> engines, Map<String, LayerRange> assigned) {
     ImmutableMap.Builder<String, LayerRange> served = ImmutableMap.builder();
-    for (Holding engine : engines) {
-      Optional.ofNullable(held.get(engine.id()))
-          .flatMap(engine::servedOf)
+    for (EngineSnapshot engine : engines) {
+      Optional.ofNullable(assigned.get(engine.id()))
+          .flatMap(engine::retainedLayers)
           .ifPresent(range -> served.put(engine.id(), range));
     }
     return served.buildOrThrow();
   }
 
-  private Optional<Holding> roomiestBeside(
-      List<Holding> engines, Map<String, LayerRange> held, int hole) {
-    Holding best = null;
-    double bestRoom = -1;
-    for (Holding engine : engines) {
-      LayerRange range = held.get(engine.id());
+  private Optional<EngineSnapshot> bestNeighbour(
+      List<EngineSnapshot> engines, Map<String, LayerRange> assigned, int gap) {
+    EngineSnapshot best = null;
+    double bestCapacity = -1;
+    for (EngineSnapshot engine : engines) {
+      LayerRange range = assigned.get(engine.id());
       if (range == null) {
         continue;
       }
-      int wider = Math.max(range.to(), hole + 1) - Math.min(range.from(), hole);
-      if (wider > sizes.most(engine.accelerator())) {
+      int wider = Math.max(range.to(), gap + 1) - Math.min(range.from(), gap);
+      if (wider > sizes.maxLayers(engine.accelerator())) {
         continue;
       }
       int added = wider - range.size();
-      double room = model.roomTokens(engine.accelerator(), wider) / added;
-      if (room > bestRoom) {
+      double capacity = model.roomTokens(engine.accelerator(), wider) / added;
+      if (capacity > bestCapacity) {
         best = engine;
-        bestRoom = room;
+        bestCapacity = capacity;
       }
     }
     return Optional.ofNullable(best);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/EndedEndpoints.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/CrashDetector.java
@@ -20,7 +20,7 @@
  * refuses connections, a later run of the endpoint shows, or the endpoint stops listing itself
  * without having announced that it leaves. Confined to the node's event loop.
  */
-public final class EndedEndpoints {
+public final class CrashDetector {
   /** A request that has run for longer did not end the endpoint by being begun. */
   public static final Duration JUST_BEGUN = Duration.ofSeconds(1);
 
@@ -33,10 +33,10 @@
   private record Lost(RequestStart start, long at) {}
 
   private final Executor clock;
-  private final Consumer<EndpointEnd> onEnd;
+  private final Consumer<EndpointCrash> onEnd;
   private final Map<TrackedEndpoint, List<Lost>> lostAt = new HashMap<>();
 
-  private EndedEndpoints(Executor clock, Fleet fleet, Consumer<EndpointEnd> onEnd) {
+  private CrashDetector(Executor clock, Fleet fleet, Consumer<EndpointCrash> onEnd) {
     this.clock = checkNotNull(clock);
     this.onEnd = checkNotNull(onEnd);
     fleet.onProcessGone(this::processGone);
@@ -44,8 +44,8 @@
   }
 
   /** Returns an observer of a fleet's endpoints that hands on each end that it puts down. */
-  public static EndedEndpoints watch(Executor clock, Fleet fleet, Consumer<EndpointEnd> onEnd) {
-    return new EndedEndpoints(clock, fleet, onEnd);
+  public static CrashDetector watch(Executor clock, Fleet fleet, Consumer<EndpointCrash> onEnd) {
+    return new CrashDetector(clock, fleet, onEnd);
   }
 
   /**
@@ -54,7 +54,7 @@
    * @param start the request's start at that endpoint or its path
    * @param ranFor since the request was sent there, or since the first part of its answer
    */
-  public void lost(TrackedEndpoint endpoint, RequestStart start, Duration ranFor) {
+  public void recordLoss(TrackedEndpoint endpoint, RequestStart start, Duration ranFor) {
     if (ranFor.compareTo(JUST_BEGUN) > 0) {
       return;
     }
@@ -87,7 +87,7 @@
 
   private void tell(TrackedEndpoint endpoint, RequestStart start) {
     if (start.takeEnd()) {
-      onEnd.accept(new EndpointEnd(start.content(), endpoint.endpoint().run()));
+      onEnd.accept(new EndpointCrash(start.content(), endpoint.endpoint().run()));
     }
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/Quarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/Quarantine.java
@@ -76,7 +76,7 @@
   }
 
   /** Calls back when a content is held back from now on. */
-  public void onHold(Consumer<RequestContent> listener) {
+  public void onQuarantined(Consumer<RequestContent> listener) {
     holdListeners.add(listener);
   }
 
@@ -91,7 +91,7 @@
   }
 
   /** Returns whether requests of that content are held back. */
-  public boolean holds(RequestContent content) {
+  public boolean isQuarantined(RequestContent content) {
     Suspect suspect = suspects.get(content);
     if (suspect == null || !suspect.held) {
       return false;
@@ -103,14 +103,14 @@
   }
 
   /** Returns whether a content is held back at the next end under it. */
-  public boolean isOneEndShort(RequestContent content) {
+  public boolean isOneCrashFromQuarantine(RequestContent content) {
     Suspect suspect = suspects.get(content);
     return suspect != null && !suspect.held && suspect.ends() == ENDS_THAT_HOLD - 1;
   }
 
   /** Returns how long a content is still held back; zero if it isn't. */
   public Duration remaining(RequestContent content) {
-    return holds(content)
+    return isQuarantined(content)
         ? Duration.ofNanos(suspects.get(content).heldUntil - now())
         : Duration.ZERO;
   }
@@ -120,7 +120,7 @@
    *
    * @return whether the content is held back because of this end
    */
-  public boolean noteEnd(EndpointEnd end) {
+  public boolean recordCrash(EndpointCrash end) {
     forgetOld();
     Suspect suspect = suspects.computeIfAbsent(end.content(), unknown -> new Suspect());
     if (!suspect.endedRuns.add(end.endpointRun())) {
@@ -164,7 +164,7 @@
   }
 
   /** Clears a content: an endpoint answered it whole. */
-  public void noteAnswered(RequestContent content) {
+  public void recordAnswer(RequestContent content) {
     Suspect suspect = suspects.get(content);
     if (suspect != null && !suspect.held) {
       suspects.remove(content);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/SharedQuarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/SharedQuarantine.java
@@ -64,11 +64,11 @@
   private final String prefix;
   private final String node;
   private final Quarantine quarantine;
-  private final EndedEndpoints endpoints;
-  private final Set<EndpointEnd> unwritten = new LinkedHashSet<>();
+  private final CrashDetector endpoints;
+  private final Set<EndpointCrash> unwritten = new LinkedHashSet<>();
 
   /** What this node wrote, and when: it alone can write it again. */
-  private final Map<EndpointEnd, Long> writtenAt = new LinkedHashMap<>();
+  private final Map<EndpointCrash, Long> writtenAt = new LinkedHashMap<>();
 
   private final Set<RequestContent> heldInStore = new HashSet<>();
   private final Set<String> takenKeys = new HashSet<>();
@@ -92,7 +92,7 @@
     this.prefix = checkNotNull(prefix);
     this.node = checkNotNull(node);
     quarantine = Quarantine.create(clock, counters);
-    endpoints = EndedEndpoints.watch(clock, fleet, this::seen);
+    endpoints = CrashDetector.watch(clock, fleet, this::seen);
   }
 
   /**
@@ -118,12 +118,12 @@
   }
 
   /** Returns the observer that is to be told of requests that lost their endpoint. */
-  public EndedEndpoints endpoints() {
+  public CrashDetector crashDetector() {
     return endpoints;
   }
 
-  private void seen(EndpointEnd end) {
-    if (quarantine.noteEnd(end)) {
+  private void seen(EndpointCrash end) {
+    if (quarantine.recordCrash(end)) {
       // This node completed the proof, so it is the one to write it.
       writeHeld(end.content());
     }
@@ -160,12 +160,12 @@
   }
 
   private void writeEnds(long underLease) {
-    ImmutableList<EndpointEnd> ends = ImmutableList.copyOf(unwritten);
+    ImmutableList<EndpointCrash> ends = ImmutableList.copyOf(unwritten);
     // A call whose answer was lost may still be done: each has a key of its own, and ends that
     // are written twice count once.
     String key = prefix + ENDS + node + "/" + written++;
     Async.onDone(
-        store.create(key, EndpointEnd.write(ends), underLease),
+        store.create(key, EndpointCrash.write(ends), underLease),
         clock,
         (created, failure) -> {
           if (failure != null) {
@@ -182,7 +182,7 @@
         });
   }
 
-  private void noteWritten(ImmutableList<EndpointEnd> ends) {
+  private void noteWritten(ImmutableList<EndpointCrash> ends) {
     ends.forEach(end -> writtenAt.put(end, now()));
     while (writtenAt.size() > MOST_UNWRITTEN) {
       writtenAt.remove(writtenAt.keySet().iterator().next());
@@ -203,7 +203,7 @@
 
   /** Writes that a content is held back, unless the store says so already. */
   private void writeHeld(RequestContent content) {
-    if (heldInStore.contains(content) || !quarantine.holds(content)) {
+    if (heldInStore.contains(content) || !quarantine.isQuarantined(content)) {
       return;
     }
     Async.onDone(
@@ -269,7 +269,7 @@
         takeHeld(new RequestContent(name.substring(HELD.length())));
       } else if (name.startsWith(ENDS) && takenKeys.add(item.key())) {
         // Once only: what was answered since has cleared it.
-        EndpointEnd.read(item.value()).forEach(this::heard);
+        EndpointCrash.read(item.value()).forEach(this::heard);
       }
     } catch (IllegalArgumentException e) {
       EventLog.warn(Event.STORE_VALUE_UNREADABLE, "key", item.key(), "cause", e.getMessage());
@@ -281,8 +281,8 @@
     quarantine.hold(content, "the store holds it");
   }
 
-  private void heard(EndpointEnd end) {
-    if (quarantine.noteEnd(end)) {
+  private void heard(EndpointCrash end) {
+    if (quarantine.recordCrash(end)) {
       writeHeldLater(end.content());
     }
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/relay/EnginePath.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/relay/EnginePath.java
@@ -8,7 +8,10 @@
 import java.util.Set;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 
-/** Parts that run every layer of a model exactly once, in order, each engine at most once. */
+/**
+ * A path over engines: parts that together run every layer of a model exactly once and in order,
+ * each engine at most once.
+ */
 public final class EnginePath {
   private final ImmutableList<PathPart> parts;
 
@@ -17,16 +20,18 @@
   }
 
   /**
-   * Returns the path over the given parts.
+   * Returns the path that consists of the given parts.
    *
-   * @throws IllegalArgumentException if they leave out or repeat a layer, or name an engine twice
+   * @param layers the number of layers of the model
+   * @throws IllegalArgumentException if the parts leave out or repeat a layer, or contain an engine
+   *     twice
    */
   public static EnginePath of(int layers, List<PathPart> parts) {
     int next = 0;
-    Set<TrackedEndpoint> seen = new HashSet<>();
+    Set<TrackedEndpoint> engines = new HashSet<>();
     for (PathPart part : parts) {
       checkArgument(part.layers().from() == next, "%s should begin at layer %s", part, next);
-      checkArgument(seen.add(part.engine()), "%s is named twice", part.engine());
+      checkArgument(engines.add(part.engine()), "%s occurs twice", part.engine());
       next = part.layers().to();
     }
     checkArgument(next == layers, "the parts end at layer %s, expected %s", next, layers);
@@ -38,27 +43,27 @@
     return parts;
   }
 
-  /** Returns the engine that takes the request. */
+  /** Returns the engine that the request is sent to. */
   public TrackedEndpoint first() {
     return parts.get(0).engine();
   }
 
-  /** Returns whether the engine runs a part. */
-  public boolean passes(TrackedEndpoint engine) {
+  /** Returns whether the engine runs a part of the path. */
+  public boolean contains(TrackedEndpoint engine) {
     return parts.stream().anyMatch(part -> part.engine() == engine);
   }
 
-  /** Counts a request with that many tokens in at each engine. */
+  /** Adds a request with that many tokens to the load of each engine on the path. */
   public void reserve(int tokens) {
     parts.forEach(part -> part.engine().reserve((double) tokens * part.layers().size()));
   }
 
-  /** Counts a request out again. */
+  /** Removes a request with that many tokens from the load of each engine on the path. */
   public void release(int tokens) {
     parts.forEach(part -> part.engine().release((double) tokens * part.layers().size()));
   }
 
-  /** Returns the path as {@code address=from-to,...}. */
+  /** Returns the path in the form {@code address=from-to,...}. */
   public String text() {
     StringBuilder text = new StringBuilder();
     for (PathPart part : parts) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/relay/PathPlanner.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/relay/PathPlanner.java
@@ -21,51 +21,56 @@
 /**
  * Finds the path with the least expected time over the engines' layers.
  *
- * <p>A shortest path over (layer boundary, data centre). A part may begin and end anywhere inside
- * what its engine holds, so ranges may overlap and a path may change between copies of the model.
- * The cost of a part is the engine's expected time for the request's share there, at the load of
- * all nodes as far as it is known, with a penalty once memory runs short. Each node has lasting
- * preferences among like engines, and a little chance: nodes with the same view don't choose the
- * same engines.
+ * <p>The path is a shortest path whose states are pairs of layer boundary and data centre. A part
+ * may begin and end anywhere inside the range that its engine holds, so ranges may overlap and a
+ * path may change between replicas of the model. The cost of a part is the expected time of the
+ * request's layers on the engine under the load of all nodes, as far as it is known, plus a penalty
+ * if memory runs short. Each node has fixed preferences among equal engines, and a small random
+ * factor applies to each decision, so that nodes with the same view do not choose the same engines.
  */
 public final class PathPlanner {
   /**
-   * Paid once a path changes the data centre: as much as for an engine without room. The pipe
-   * between two data centres is shared by all and can't be seen to fill; each token passes it. A
-   * data centre that lacks room or layers sends its requests whole to another one instead.
+   * Cost of a path that changes the data centre, as high as that of an engine with full memory. All
+   * requests share the link between two data centres, each token passes it, and its load cannot be
+   * observed. A data centre that lacks capacity or layers sends whole requests to another data
+   * centre instead.
    */
-  private static final double CROSSING_MILLIS = 20_000;
+  private static final double CROSSING_COST_MILLIS = 20_000;
 
-  /** Paid for leaving the node's data centre: bytes between them are priced. */
-  private static final double REMOTE_MILLIS = 60;
+  /**
+   * Cost of a path that begins outside the node's data centre, because traffic between data centres
+   * is charged for.
+   */
+  private static final double REMOTE_START_COST_MILLIS = 60;
 
-  /** Time on the way to another engine, for each token. */
+  /** Time per token to reach an engine. */
   private static final double HOP_MILLIS = 0.3;
 
-  /** Share of an engine's memory from which waiting for memory becomes likely. */
-  private static final double CROWDED = 0.7;
+  /** Share of an engine's memory above which requests are likely to wait for memory. */
+  private static final double CROWDED_SHARE = 0.7;
 
   /**
-   * Most of an engine's memory that requests may be going to need at their end. All of it: few of
-   * them are at their end at once, which leaves room for answers longer than expected and for
-   * requests of other nodes that are not known yet. An engine that runs out of memory stops the
-   * newest request and reads it again later.
+   * Maximum share of an engine's memory that its requests may need when they end. The limit is the
+   * whole memory: few requests are near their end at the same time, which leaves capacity for
+   * answers that are longer than expected and for requests of other nodes that are not known yet.
+   * An engine that runs out of memory stops the newest request and reads it again later.
    */
-  private static final double MOST_TAKEN = 1.0;
+  private static final double MAX_MEMORY_SHARE = 1.0;
 
-  /** Cost of an engine whose memory is full, far above any time of a step. */
-  private static final double FULL_MILLIS = 20_000;
+  /** Cost of an engine whose memory is full, far above the time of any step. */
+  private static final double FULL_MEMORY_COST_MILLIS = 20_000;
 
-  /** Cost of an engine whose places are all taken. */
-  private static final double NO_SLOT_MILLIS = 20_000;
+  /** Cost of an engine all of whose slots are taken. */
+  private static final double NO_SLOT_COST_MILLIS = 20_000;
 
-  private static final double NOISE = 0.1;
+  private static final double NOISE_SHARE = 0.1;
 
   /**
-   * Part by which a node takes an engine for faster or slower than its kind, always the same way.
-   * What it knows at first hand, its own requests, is so more of what an engine has.
+   * Maximum share by which a node treats an engine as faster or slower than others of its kind,
+   * always by the same amount. Each node thus concentrates its requests on fewer engines, so that
+   * its own requests, whose load it knows best, make up more of the load of those engines.
    */
-  private static final double PREFERENCE = 0.3;
+  private static final double PREFERENCE_SHARE = 0.3;
 
   private static final double MILLIS_PER_SECOND = 1000;
 
@@ -77,29 +82,32 @@
     this.preferences = Hashing.murmur3_32_fixed(random.nextInt());
   }
 
-  /** Returns a planner that draws from the source. */
+  /** Returns a planner that uses the given random source. */
   public static PathPlanner create(Random random) {
     return new PathPlanner(random);
   }
 
   /**
-   * What a path is asked for.
+   * The input of a path search.
    *
-   * @param model what the engines run
+   * @param model the model that the engines run
    * @param size the request's size
-   * @param dataCentre the node's
-   * @param nowNanos the time
+   * @param dataCentre the node's data centre
+   * @param nowNanos the current time
    */
   public record Query(ModelProfile model, RequestSize size, String dataCentre, long nowNanos) {}
 
   private record Step(PathPart part, int state, double cost) {}
 
-  /** Returns the best path over the engines, if they hold every layer. */
+  /**
+   * Returns the cheapest path over the engines, or empty if there is none, for example because they
+   * do not hold every layer.
+   */
   public Optional<EnginePath> plan(Query query, List<TrackedEndpoint> engines) {
     return search(query, engines, Optional.empty());
   }
 
-  /** Returns the best path that begins with the given part. */
+  /** Returns the cheapest path that begins with the given part, or empty if there is none. */
   public Optional<EnginePath> replan(
       Query query, List<TrackedEndpoint> engines, PathPart firstPart) {
     ImmutableList<TrackedEndpoint> others =
@@ -115,111 +123,120 @@
       return Optional.empty();
     }
     int layers = query.model().layers();
-    int begin = firstPart.map(part -> part.layers().to()).orElse(0);
-    if (begin == layers) {
+    int firstLayer = firstPart.map(part -> part.layers().to()).orElse(0);
+    if (firstLayer == layers) {
       return firstPart.map(part -> EnginePath.of(layers, List.of(part)));
     }
-    List<String> centres = centres(engines, firstPart);
-    int[] cuts = cuts(engines, begin, layers);
-    Step[] best = new Step[cuts.length * centres.size()];
+    List<String> dataCentres = dataCentres(engines, firstPart);
+    int[] boundaries = boundaries(engines, firstLayer, layers);
+    Step[] best = new Step[boundaries.length * dataCentres.size()];
     double[] cost = new double[best.length];
     Arrays.fill(cost, Double.MAX_VALUE);
-    for (int centre = 0; centre < centres.size(); centre++) {
-      cost[centre] = startCost(query, centres.get(centre), firstPart);
+    for (int dataCentre = 0; dataCentre < dataCentres.size(); dataCentre++) {
+      cost[dataCentre] = startCost(query, dataCentres.get(dataCentre), firstPart);
     }
-    List<Candidate> candidates = candidates(query, engines, centres);
-    for (int cut = 0; cut < cuts.length - 1; cut++) {
-      int layer = cuts[cut];
+    List<Candidate> candidates = candidates(query, engines, dataCentres);
+    for (int index = 0; index < boundaries.length - 1; index++) {
+      int layer = boundaries[index];
       for (Candidate candidate : candidates) {
         if (layer < candidate.heldFrom || layer >= candidate.heldTo) {
           continue;
         }
-        int from = cheapestState(cost, cut, candidate.centre, centres.size());
+        int from = cheapestState(cost, index, candidate.dataCentre, dataCentres.size());
         if (cost[from] == Double.MAX_VALUE) {
           continue;
         }
-        double before = cost[from] + crossing(from % centres.size(), candidate.centre);
-        for (int end = cut + 1; end < cuts.length && cuts[end] <= candidate.heldTo; end++) {
-          int state = end * centres.size() + candidate.centre;
-          double total = before + candidate.cost.of(cuts[end] - layer);
+        double costBefore =
+            cost[from] + crossingCost(from % dataCentres.size(), candidate.dataCentre);
+        for (int end = index + 1;
+            end < boundaries.length && boundaries[end] <= candidate.heldTo;
+            end++) {
+          int state = end * dataCentres.size() + candidate.dataCentre;
+          double total = costBefore + candidate.cost.of(boundaries[end] - layer);
           if (total < cost[state]) {
             cost[state] = total;
-            PathPart part = new PathPart(candidate.engine, LayerRange.of(layer, cuts[end]));
+            PathPart part = new PathPart(candidate.engine, LayerRange.of(layer, boundaries[end]));
             best[state] = new Step(part, from, total);
           }
         }
       }
     }
-    return walkBack(best, cost, centres.size(), firstPart, layers);
+    return backtrack(best, cost, dataCentres.size(), firstPart, layers);
   }
 
-  private static List<String> centres(List<TrackedEndpoint> engines, Optional<PathPart> firstPart) {
+  private static List<String> dataCentres(
+      List<TrackedEndpoint> engines, Optional<PathPart> firstPart) {
     TreeSet<String> names = new TreeSet<>();
     engines.forEach(engine -> names.add(engine.endpoint().dataCentre()));
     firstPart.ifPresent(part -> names.add(part.engine().endpoint().dataCentre()));
     return new ArrayList<>(names);
   }
 
-  /** Returns the layers at which a part may begin or end, in order. */
-  private static int[] cuts(List<TrackedEndpoint> engines, int begin, int layers) {
-    TreeSet<Integer> cuts = new TreeSet<>();
-    cuts.add(begin);
-    cuts.add(layers);
+  /** Returns the layer boundaries at which a part may begin or end, in ascending order. */
+  private static int[] boundaries(List<TrackedEndpoint> engines, int firstLayer, int layers) {
+    TreeSet<Integer> boundaries = new TreeSet<>();
+    boundaries.add(firstLayer);
+    boundaries.add(layers);
     for (TrackedEndpoint engine : engines) {
       engine
           .endpoint()
           .layers()
           .ifPresent(
               held -> {
-                addInside(cuts, held.from(), begin, layers);
-                addInside(cuts, held.to(), begin, layers);
+                addInside(boundaries, held.from(), firstLayer, layers);
+                addInside(boundaries, held.to(), firstLayer, layers);
               });
     }
-    return cuts.stream().mapToInt(Integer::intValue).toArray();
+    return boundaries.stream().mapToInt(Integer::intValue).toArray();
   }
 
-  private static void addInside(TreeSet<Integer> cuts, int layer, int begin, int layers) {
-    if (layer > begin && layer < layers) {
-      cuts.add(layer);
+  private static void addInside(
+      TreeSet<Integer> boundaries, int layer, int firstLayer, int layers) {
+    if (layer > firstLayer && layer < layers) {
+      boundaries.add(layer);
     }
   }
 
-  private static double startCost(Query query, String centre, Optional<PathPart> firstPart) {
+  private static double startCost(Query query, String dataCentre, Optional<PathPart> firstPart) {
     String home =
         firstPart.map(part -> part.engine().endpoint().dataCentre()).orElse(query.dataCentre());
-    if (home.equals(centre)) {
+    if (home.equals(dataCentre)) {
       return 0;
     }
-    return firstPart.isPresent() ? CROSSING_MILLIS : REMOTE_MILLIS;
+    return firstPart.isPresent() ? CROSSING_COST_MILLIS : REMOTE_START_COST_MILLIS;
   }
 
-  private static double crossing(int centre, int toCentre) {
-    return centre == toCentre ? 0 : CROSSING_MILLIS;
+  private static double crossingCost(int dataCentre, int toDataCentre) {
+    return dataCentre == toDataCentre ? 0 : CROSSING_COST_MILLIS;
   }
 
-  /** Returns the state at a cut from which an engine of that data centre is reached cheapest. */
-  private static int cheapestState(double[] cost, int cut, int centre, int centres) {
-    int first = cut * centres;
-    int best = first + centre;
-    if (cut == 0) {
+  /**
+   * Returns the state at a boundary from which an engine of the given data centre is reached at the
+   * lowest cost.
+   */
+  private static int cheapestState(double[] cost, int index, int dataCentre, int dataCentres) {
+    int first = index * dataCentres;
+    int best = first + dataCentre;
+    if (index == 0) {
       return best;
     }
-    for (int state = first; state < first + centres; state++) {
+    for (int state = first; state < first + dataCentres; state++) {
       if (cost[state] == Double.MAX_VALUE) {
         continue;
       }
-      double into = cost[state] + crossing(state - first, centre);
-      if (cost[best] == Double.MAX_VALUE || into < cost[best] + crossing(best - first, centre)) {
+      double candidateCost = cost[state] + crossingCost(state - first, dataCentre);
+      if (cost[best] == Double.MAX_VALUE
+          || candidateCost < cost[best] + crossingCost(best - first, dataCentre)) {
         best = state;
       }
     }
     return best;
   }
 
-  private static Optional<EnginePath> walkBack(
-      Step[] best, double[] cost, int centres, Optional<PathPart> firstPart, int layers) {
-    int state = best.length - centres;
-    for (int candidate = best.length - centres; candidate < best.length; candidate++) {
+  private static Optional<EnginePath> backtrack(
+      Step[] best, double[] cost, int dataCentres, Optional<PathPart> firstPart, int layers) {
+    int state = best.length - dataCentres;
+    for (int candidate = best.length - dataCentres; candidate < best.length; candidate++) {
       if (cost[candidate] < cost[state]) {
         state = candidate;
       }
@@ -234,13 +251,14 @@
     }
     firstPart.ifPresent(parts::add);
     Collections.reverse(parts);
-    return Optional.of(EnginePath.of(layers, joined(parts)));
+    return Optional.of(EnginePath.of(layers, mergeParts(parts)));
   }
 
   /**
-   * Gives an engine that appears twice all layers from its first part to its last, which it holds.
+   * Merges the parts of an engine that occurs more than once: it runs all layers from its first
+   * part to its last, since it holds them all.
    */
-  private static List<PathPart> joined(List<PathPart> parts) {
+  private static List<PathPart> mergeParts(List<PathPart> parts) {
     List<PathPart> result = new ArrayList<>();
     for (int i = 0; i < parts.size(); i++) {
       PathPart part = parts.get(i);
@@ -258,36 +276,36 @@
   }
 
   /**
-   * An engine with what the search asks of it for each cut; a fleet has dozens of both, so nothing
-   * is looked up in between.
+   * An engine with the values that the search needs at each boundary. They are looked up once,
+   * since a fleet has dozens of engines and boundaries.
    */
   private static final class Candidate {
     private final TrackedEndpoint engine;
     private final int heldFrom;
     private final int heldTo;
-    private final int centre;
+    private final int dataCentre;
     private final EngineCost cost;
 
-    Candidate(TrackedEndpoint engine, LayerRange held, int centre, EngineCost cost) {
+    Candidate(TrackedEndpoint engine, LayerRange held, int dataCentre, EngineCost cost) {
       this.engine = engine;
       this.heldFrom = held.from();
       this.heldTo = held.to();
-      this.centre = centre;
+      this.dataCentre = dataCentre;
       this.cost = cost;
     }
   }
 
   private List<Candidate> candidates(
-      Query query, List<TrackedEndpoint> engines, List<String> centres) {
+      Query query, List<TrackedEndpoint> engines, List<String> dataCentres) {
     List<Candidate> candidates = new ArrayList<>();
     for (TrackedEndpoint engine : engines) {
       Optional<AcceleratorProfile> accelerator =
           query.model().accelerator(engine.endpoint().accelerator());
       Optional<LayerRange> held = engine.endpoint().layers();
       if (accelerator.isPresent() && held.isPresent()) {
-        int centre = centres.indexOf(engine.endpoint().dataCentre());
+        int dataCentre = dataCentres.indexOf(engine.endpoint().dataCentre());
         EngineCost cost = cost(query, engine, accelerator.get());
-        candidates.add(new Candidate(engine, held.get(), centre, cost));
+        candidates.add(new Candidate(engine, held.get(), dataCentre, cost));
       }
     }
     return candidates;
@@ -299,8 +317,8 @@
     double shortage = engine.shortage(query.nowNanos());
     double streams = engine.requestsOfAll() * shortage;
     int held = engine.endpoint().layers().get().size();
-    double taken = engine.tokenLayersOfAll() * shortage;
-    double contextTokens = taken / held;
+    double used = engine.tokenLayersOfAll() * shortage;
+    double contextTokens = used / held;
     double stepMillis =
         accelerator.stepFactor()
             * engine.pace()
@@ -315,35 +333,44 @@
             / model.readTokensPerSecond();
     double perLayer = (stepMillis * size.answerTokens() + readMillis) / model.layers();
     double noise =
-        1 + NOISE * (random.nextDouble() - 0.5) * 2 + PREFERENCE * preference(engine.endpoint());
+        1
+            + NOISE_SHARE * (random.nextDouble() - 0.5) * 2
+            + PREFERENCE_SHARE * preference(engine.endpoint());
     double fixed = HOP_MILLIS * size.answerTokens();
     if (streams >= engine.endpoint().slots()) {
-      fixed += NO_SLOT_MILLIS;
+      fixed += NO_SLOT_COST_MILLIS;
     }
     return new EngineCost(
         perLayer * noise,
         fixed * noise,
         model.roomTokenLayers(accelerator, held),
-        taken,
+        used,
         size.tokens());
   }
 
-  /** Returns how this node takes an engine, from -1 for the fastest to 1 for the slowest. */
+  /**
+   * Returns this node's preference for the engine, from -1 (treated as fastest) to 1 (treated as
+   * slowest).
+   */
   private double preference(FleetEndpoint engine) {
     int hash = preferences.hashInt(engine.id().hashCode()).asInt();
     return (double) hash / Integer.MAX_VALUE;
   }
 
-  /** What a part costs on one engine, by its number of layers. */
+  /** The cost of a part on one engine as a function of its number of layers. */
   private record EngineCost(
-      double perLayer, double fixed, double room, double taken, double tokens) {
+      double perLayer, double fixed, double capacity, double used, double tokens) {
     double of(int layers) {
-      double fill = room <= 0 ? 1 : (taken + tokens * layers) / room;
-      // An empty engine takes whatever fits; one that is described as too small refuses itself.
-      if (room > 0 && fill > (taken > 0 ? MOST_TAKEN : 1)) {
+      double fill = capacity <= 0 ? 1 : (used + tokens * layers) / capacity;
+      // An empty engine accepts any request that fits. An engine whose configured memory is too
+      // small for its own layers refuses requests itself.
+      if (capacity > 0 && fill > (used > 0 ? MAX_MEMORY_SHARE : 1)) {
         return Double.MAX_VALUE;
       }
-      double crowding = fill <= CROWDED ? 0 : FULL_MILLIS * (fill - CROWDED) / (1 - CROWDED);
+      double crowding =
+          fill <= CROWDED_SHARE
+              ? 0
+              : FULL_MEMORY_COST_MILLIS * (fill - CROWDED_SHARE) / (1 - CROWDED_SHARE);
       return perLayer * layers + fixed + crowding;
     }
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/routing/PrefixHashes.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/routing/PrefixHashes.java
@@ -5,7 +5,10 @@
 import com.google.common.hash.Hashing;
 import java.nio.charset.StandardCharsets;
 
-/** Hashes a prompt's growing prefixes, so that two prompts can be compared by their start. */
+/**
+ * Hashes the growing prefixes of a prompt, so that two prompts can be compared by their common
+ * start.
+ */
 public final class PrefixHashes {
   private static final HashFunction HASH = Hashing.murmur3_128(0x7661);
   private static final int BLOCK_CHARACTERS = 256;
@@ -13,7 +16,7 @@
 
   private PrefixHashes() {}
 
-  /** Returns the hashes of the prompt's prefixes of whole blocks, shortest first. */
+  /** Returns the hashes of the prompt's prefixes that consist of whole blocks, shortest first. */
   public static ImmutableList<Long> of(String prompt) {
     ImmutableList.Builder<Long> hashes = ImmutableList.builder();
     int blocks = Math.min(MAX_BLOCKS, prompt.length() / BLOCK_CHARACTERS);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/routing/RoutePlanner.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/routing/RoutePlanner.java
@@ -17,13 +17,15 @@
 /**
  * Finds the cheapest route over the engines' layer ranges.
  *
- * <p>Layer boundaries are the nodes and engines the edges of an acyclic graph whose edges are
- * already sorted by start, so one pass finds the shortest path: time linear in the number of
- * engines of the model, plus the number of layers. Thread-safe.
+ * <p>Layer boundaries are the vertices and engines the edges of an acyclic graph. The edges are
+ * already sorted by their start, so one pass finds the shortest path in time linear in the number
+ * of engines of the model plus the number of layers. Thread-safe.
  */
 public final class RoutePlanner {
-  /** Above the price of any route of usable engines. */
-  private static final double LAST_RESORT_PRICE = 1e12;
+  /**
+   * Cost added for an engine that is a last resort; above the cost of any route of usable engines.
+   */
+  private static final double LAST_RESORT_COST = 1e12;
 
   private final EndpointTable table;
   private final RoutePolicy policy;
@@ -39,25 +41,25 @@
   }
 
   /**
-   * Returns the cheapest route of usable engines; if they don't cover the span, one that passes as
-   * few engines in doubt as can be, or empty.
+   * Returns the cheapest route of usable engines. If these do not cover the span, returns a route
+   * with as few last-resort engines as possible, or empty if there is none.
    */
   public Optional<PlannedRoute> plan(RouteQuery query) {
     LayerRange span = query.span();
-    double[] price = new double[span.size() + 1];
+    double[] cost = new double[span.size() + 1];
     EndpointState[] via = new EndpointState[span.size() + 1];
-    Arrays.fill(price, Double.POSITIVE_INFINITY);
-    price[0] = 0;
+    Arrays.fill(cost, Double.POSITIVE_INFINITY);
+    cost[0] = 0;
     for (EndpointState engine : table.serving(query.model())) {
-      relax(query, engine, price, via);
+      relax(query, engine, cost, via);
     }
     if (via[span.size()] == null) {
       return Optional.empty();
     }
-    return Optional.of(PlannedRoute.of(span, walkBack(span, via)));
+    return Optional.of(PlannedRoute.of(span, backtrack(span, via)));
   }
 
-  private void relax(RouteQuery query, EndpointState engine, double[] price, EndpointState[] via) {
+  private void relax(RouteQuery query, EndpointState engine, double[] cost, EndpointState[] via) {
     LayerRange span = query.span();
     LayerRange range = engine.endpoint().layers().orElse(null);
     if (range == null || range.from() < span.from() || range.to() > span.to()) {
@@ -66,20 +68,20 @@
     int from = range.from() - span.from();
     int to = range.to() - span.from();
     boolean usable = engine.isUsable();
-    if (price[from] == Double.POSITIVE_INFINITY
+    if (cost[from] == Double.POSITIVE_INFINITY
         || query.excluded().contains(engine.endpoint().id())
         || !(usable || engine.isLastResort())) {
       return;
     }
-    double surcharge = usable ? 0 : LAST_RESORT_PRICE;
-    double candidate = price[from] + surcharge + policy.price(engine, query);
-    if (candidate < price[to]) {
-      price[to] = candidate;
+    double surcharge = usable ? 0 : LAST_RESORT_COST;
+    double candidate = cost[from] + surcharge + policy.cost(engine, query);
+    if (candidate < cost[to]) {
+      cost[to] = candidate;
       via[to] = engine;
     }
   }
 
-  private static List<EndpointState> walkBack(LayerRange span, EndpointState[] via) {
+  private static List<EndpointState> backtrack(LayerRange span, EndpointState[] via) {
     Deque<EndpointState> hops = new ArrayDeque<>();
     int boundary = span.size();
     while (boundary > 0) {
@@ -90,7 +92,7 @@
     return ImmutableList.copyOf(hops);
   }
 
-  /** A route with what is known of its engines. */
+  /** A route with the states of its engines. */
   public static final class PlannedRoute {
     private final Route route;
     private final ImmutableList<EndpointState> engines;
@@ -110,7 +112,7 @@
       return route;
     }
 
-    /** Returns whether an engine is on it for want of any that is in no doubt. */
+    /** Returns whether the route contains an engine that is used only as a last resort. */
     public boolean isLastResort() {
       return !engines.stream().allMatch(EndpointState::isUsable);
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/routing/RoutePolicy.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/routing/RoutePolicy.java
@@ -3,12 +3,13 @@
 import org.vaneworks.coordination.endpoints.EndpointState;
 
 /**
- * Prices one engine as part of a route; the planner takes the cheapest tiling.
+ * Computes the cost of one engine as part of a route; the planner chooses the cheapest sequence of
+ * engines that covers the layers.
  *
- * <p>Implementations are called for every candidate of every decision, so they must be cheap.
+ * <p>Implementations are called for every candidate of every decision, so they must be fast.
  */
 @FunctionalInterface
 public interface RoutePolicy {
-  /** Returns the price, not negative; infinity rules the engine out. */
-  double price(EndpointState engine, RouteQuery query);
+  /** Returns the cost, which is not negative; infinity excludes the engine. */
+  double cost(EndpointState engine, RouteQuery query);
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/routing/RouteQuery.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/routing/RouteQuery.java
@@ -9,16 +9,16 @@
 import org.vaneworks.state.LayerRange;
 
 /**
- * What a route is wanted for.
+ * The input of a route search.
  *
  * @param model the model's name
  * @param span the layers to cover
- * @param promptTokens positions to run before the first new token
- * @param newTokens tokens still to make
+ * @param promptTokens number of positions to process before the first new token
+ * @param newTokens number of tokens still to generate
  * @param prefixes hashes of the prompt's growing prefixes, shortest first
- * @param firstToken bound on the first token
- * @param betweenTokens bound between tokens
- * @param excluded engines not to use
+ * @param firstToken bound on the time to the first token
+ * @param betweenTokens bound on the time between tokens
+ * @param excluded engines that must not be used
  */
 public record RouteQuery(
     String model,
@@ -29,7 +29,7 @@
     Duration firstToken,
     Duration betweenTokens,
     ImmutableSet<EndpointId> excluded) {
-  /** Checks that every part is given. */
+  /** Checks that model, span, prefixes and excluded engines are given. */
   public RouteQuery {
     checkNotNull(model);
     checkNotNull(span);
@@ -37,7 +37,7 @@
     checkNotNull(excluded);
   }
 
-  /** Returns the query for other layers, with other engines excluded. */
+  /** Returns a copy of this query with other layers and other excluded engines. */
   public RouteQuery covering(LayerRange layers, Iterable<EndpointId> without) {
     return new RouteQuery(
         model,
@@ -50,7 +50,7 @@
         ImmutableSet.copyOf(without));
   }
 
-  /** Returns the query for other amounts of work. */
+  /** Returns a copy of this query with another amount of work. */
   public RouteQuery withWork(int positions, int tokens) {
     return new RouteQuery(
         model, span, positions, tokens, prefixes, firstToken, betweenTokens, excluded);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/routing/RoutingSettings.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/routing/RoutingSettings.java
@@ -3,17 +3,17 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How routes are chosen and requests admitted.
+ * Settings of route choice and admission.
  *
- * @param policy prices engines
- * @param admission decides whether a route takes one more stream
- * @param cost what a request uses up of its workspace's share
- * @param fixedCap streams on one engine at most, for {@link AdmissionKind#FIXED}
- * @param retryShare retries earned by one first attempt
+ * @param policy computes the cost of engines
+ * @param admission decides whether a route accepts another stream
+ * @param cost unit in which a request counts against its workspace's share
+ * @param fixedCap maximum number of streams on one engine, for {@link AdmissionKind#FIXED}
+ * @param retryShare number of retries earned by one first attempt
  */
 public record RoutingSettings(
     PolicyKind policy, AdmissionKind admission, CostKind cost, int fixedCap, double retryShare) {
-  /** The ways to price engines. */
+  /** The kinds of route policy. */
   public enum PolicyKind {
     PREDICTED_TIME,
     RANDOM,
@@ -21,25 +21,25 @@
     LEAST_IN_FLIGHT
   }
 
-  /** The ways to admit. */
+  /** The kinds of admission policy. */
   public enum AdmissionKind {
     WITHIN_BOUNDS,
     FIXED
   }
 
-  /** What fair sharing counts. */
+  /** The units that fair sharing counts. */
   public enum CostKind {
     TOKENS,
     REQUESTS
   }
 
-  /** Checks the bounds. */
+  /** Checks that the values are in range. */
   public RoutingSettings {
     checkArgument(fixedCap > 0, "fixedCap must be positive: %s", fixedCap);
     checkArgument(retryShare >= 0 && retryShare <= 1, "retryShare: %s", retryShare);
   }
 
-  /** Returns what holds unless settings say otherwise. */
+  /** Returns the default settings. */
   public static RoutingSettings defaults() {
     return new RoutingSettings(
         PolicyKind.PREDICTED_TIME, AdmissionKind.WITHIN_BOUNDS, CostKind.REQUESTS, 64, 0.1);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/routing/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/routing/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Which engines a pipeline's stream passes in {@code vaneworksd}.
+ * Chooses the engines that run a pipeline's stream in {@code vaneworksd}.
  *
- * <p>Input: what {@code endpoints} knows of each engine, the layers and amounts of work that are
- * asked for. Called by admission and by the drivers of pipelines. The forwarding node has its own
- * choice of paths in {@code relay}.
+ * <p>Input: the state of each engine from {@code endpoints}, and the layers and the amount of work
+ * requested. Called by admission and by the drivers of pipelines. The forwarding node chooses paths
+ * with {@code relay} instead.
  */
 package org.vaneworks.coordination.routing;
