--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/CrashDetectorTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/CrashDetectorTest.java
@@ -21,17 +21,17 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Checks which losses of an endpoint are put down to which requests. */
+/** Tests which crashes {@link CrashDetector} attributes to which requests. */
 final class CrashDetectorTest {
   private static final RequestContent CONTENT =
       RequestContent.of(Optional.empty(), "POST", "host.example", "/letters/", new byte[] {1});
-  private static final Duration JUST_NOW = Duration.ofMillis(80);
+  private static final Duration SHORT_RUN_TIME = Duration.ofMillis(80);
 
   private final PausedExecutor clock = PausedExecutor.create();
   private final Fleet fleet =
       Fleet.create(clock, Counters.in(new SimpleMeterRegistry()), Duration.ofSeconds(3));
-  private final List<EndpointCrash> ends = new ArrayList<>();
-  private final CrashDetector ended = CrashDetector.watch(clock, fleet, ends::add);
+  private final List<EndpointCrash> crashes = new ArrayList<>();
+  private final CrashDetector detector = CrashDetector.watch(clock, fleet, crashes::add);
   private final TrackedEndpoint endpoint = list(1000);
 
   private TrackedEndpoint list(long startedAt) {
@@ -64,77 +64,77 @@
         endpoint.incarnation());
   }
 
-  private void assertPutDown() {
-    assertEquals(List.of(new EndpointCrash(CONTENT, "e1@1000")), ends);
+  private void assertCrashAttributed() {
+    assertEquals(List.of(new EndpointCrash(CONTENT, "e1@1000")), crashes);
   }
 
   @Test
-  void brokenConnectionAloneShowsNoEnd() {
-    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+  void brokenConnectionAloneIsNoCrash() {
+    detector.recordLoss(endpoint, RequestStart.of(CONTENT), SHORT_RUN_TIME);
     clock.advance(Duration.ofSeconds(30));
-    assertEquals(List.of(), ends);
+    assertEquals(List.of(), crashes);
   }
 
   @Test
-  void refusedConnectionAfterABrokenOneShowsTheEnd() {
-    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+  void refusedConnectionAfterABrokenOneProvesACrash() {
+    detector.recordLoss(endpoint, RequestStart.of(CONTENT), SHORT_RUN_TIME);
     fleet.noteNobodyListens(endpoint);
-    assertPutDown();
+    assertCrashAttributed();
   }
 
   @Test
-  void requestThatIsLostAfterTheEndIsKnownIsSuspectedToo() {
+  void requestLostAfterTheCrashIsKnownIsSuspectedToo() {
     fleet.noteNobodyListens(endpoint);
-    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
-    assertPutDown();
+    detector.recordLoss(endpoint, RequestStart.of(CONTENT), SHORT_RUN_TIME);
+    assertCrashAttributed();
   }
 
   @Test
-  void laterRunShowsTheEndOfTheFormer() {
-    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+  void laterIncarnationProvesACrashOfTheFormer() {
+    detector.recordLoss(endpoint, RequestStart.of(CONTENT), SHORT_RUN_TIME);
     list(2000);
-    assertPutDown();
+    assertCrashAttributed();
   }
 
   @Test
-  void endpointThatStopsListingItselfHasEnded() {
-    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+  void endpointThatStopsListingItselfHasCrashed() {
+    detector.recordLoss(endpoint, RequestStart.of(CONTENT), SHORT_RUN_TIME);
     clock.advance(Duration.ofSeconds(4));
     fleet.remove("e1");
-    assertPutDown();
+    assertCrashAttributed();
   }
 
   @Test
-  void endpointThatAnnouncedItsLeavingIsNotPutDownToARequest() {
-    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+  void endpointThatAnnouncedItsLeavingHasNotCrashed() {
+    detector.recordLoss(endpoint, RequestStart.of(CONTENT), SHORT_RUN_TIME);
     fleet.put(leaving(endpoint.endpoint()));
     fleet.remove("e1");
-    assertEquals(List.of(), ends);
+    assertEquals(List.of(), crashes);
   }
 
   @Test
-  void requestThatHadRunForLongerIsNotSuspected() {
-    ended.recordLoss(endpoint, RequestStart.of(CONTENT), CrashDetector.JUST_BEGUN.plusMillis(1));
+  void requestThatRanForLongerIsNotSuspected() {
+    detector.recordLoss(endpoint, RequestStart.of(CONTENT), CrashDetector.MAX_REQUEST_AGE.plusMillis(1));
     fleet.noteNobodyListens(endpoint);
-    assertEquals(List.of(), ends);
+    assertEquals(List.of(), crashes);
   }
 
   @Test
-  void refusalLongAfterABrokenConnectionSaysNothingOfIt() {
-    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
+  void refusedConnectionLongAfterABrokenOneProvesNoCrash() {
+    detector.recordLoss(endpoint, RequestStart.of(CONTENT), SHORT_RUN_TIME);
     clock.advance(Duration.ofSeconds(8));
     fleet.noteNobodyListens(endpoint);
-    assertEquals(List.of(), ends);
+    assertEquals(List.of(), crashes);
   }
 
   @Test
-  void endpointThatAnswersAgainMayEndAgain() {
+  void endpointThatAnswersAgainMayCrashAgain() {
     fleet.suspect(endpoint, "test");
     fleet.noteNobodyListens(endpoint);
     fleet.clear(endpoint);
-    ended.recordLoss(endpoint, RequestStart.of(CONTENT), JUST_NOW);
-    assertEquals(List.of(), ends);
+    detector.recordLoss(endpoint, RequestStart.of(CONTENT), SHORT_RUN_TIME);
+    assertEquals(List.of(), crashes);
     fleet.noteNobodyListens(endpoint);
-    assertPutDown();
+    assertCrashAttributed();
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/EndpointCrashTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/EndpointCrashTest.java
@@ -12,25 +12,25 @@
 import org.vaneworks.coordination.quarantine.EndpointCrash;
 import org.vaneworks.state.RequestContent;
 
-/** Checks how ends are written to the store and read from it. */
+/** Tests how crashes are written to and read from the store. */
 final class EndpointCrashTest {
   private static final RequestContent CONTENT =
       RequestContent.of(Optional.empty(), "GET", "host.example", "/", new byte[0]);
 
   @Test
-  void endsAreReadAsTheyWereWritten() {
-    ImmutableList<EndpointCrash> ends =
+  void writtenCrashesAreReadBackUnchanged() {
+    ImmutableList<EndpointCrash> crashes =
         ImmutableList.of(new EndpointCrash(CONTENT, "i-1@17"), new EndpointCrash(CONTENT, "i 2"));
-    assertEquals(ends, EndpointCrash.read(EndpointCrash.write(ends)));
+    assertEquals(crashes, EndpointCrash.read(EndpointCrash.write(crashes)));
   }
 
   @Property(tries = 200, seed = "11")
-  void whatIsNoListOfEndsIsRejected(@ForAll @StringLength(max = 30) String value) {
+  void malformedValueIsRejected(@ForAll @StringLength(max = 30) String value) {
     assertThrows(IllegalArgumentException.class, () -> EndpointCrash.read(value));
   }
 
   @Test
-  void runWithoutANameIsRejected() {
+  void emptyIncarnationIdIsRejected() {
     assertThrows(IllegalArgumentException.class, () -> EndpointCrash.read(CONTENT.digest() + " "));
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/QuarantineTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/QuarantineTest.java
@@ -17,7 +17,7 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Checks when a request is held back, and for how long. */
+/** Tests when a request is quarantined, and for how long. */
 final class QuarantineTest {
   private static final RequestContent CONTENT = content("letter");
 
@@ -30,90 +30,90 @@
         Optional.of("scheme"), "POST", "host.example", "/letters/", body.getBytes(UTF_8));
   }
 
-  private boolean endUnder(RequestContent content, String run) {
-    return quarantine.recordCrash(new EndpointCrash(content, run));
+  private boolean recordCrash(RequestContent content, String incarnationId) {
+    return quarantine.recordCrash(new EndpointCrash(content, incarnationId));
   }
 
-  private void hold() {
-    endUnder(CONTENT, "e1");
-    endUnder(CONTENT, "e2");
-    endUnder(CONTENT, "e3");
+  private void quarantineContent() {
+    recordCrash(CONTENT, "e1");
+    recordCrash(CONTENT, "e2");
+    recordCrash(CONTENT, "e3");
   }
 
   @Test
-  void twoEndsHoldNothingBack() {
-    endUnder(CONTENT, "e1");
-    endUnder(CONTENT, "e2");
+  void twoCrashesDoNotQuarantine() {
+    recordCrash(CONTENT, "e1");
+    recordCrash(CONTENT, "e2");
     assertFalse(quarantine.isQuarantined(CONTENT));
   }
 
   @Test
-  void thirdEndHoldsBack() {
-    List<RequestContent> told = new ArrayList<>();
-    quarantine.onQuarantined(told::add);
-    endUnder(CONTENT, "e1");
-    endUnder(CONTENT, "e2");
-    assertTrue(endUnder(CONTENT, "e3"));
+  void thirdCrashQuarantines() {
+    List<RequestContent> notified = new ArrayList<>();
+    quarantine.onQuarantined(notified::add);
+    recordCrash(CONTENT, "e1");
+    recordCrash(CONTENT, "e2");
+    assertTrue(recordCrash(CONTENT, "e3"));
     assertTrue(quarantine.isQuarantined(CONTENT));
-    assertEquals(List.of(CONTENT), told);
+    assertEquals(List.of(CONTENT), notified);
   }
 
   @Test
-  void oneEndThatIsToldThriceCountsOnce() {
-    endUnder(CONTENT, "e1");
-    endUnder(CONTENT, "e1");
-    endUnder(CONTENT, "e1");
+  void crashReportedThreeTimesCountsOnce() {
+    recordCrash(CONTENT, "e1");
+    recordCrash(CONTENT, "e1");
+    recordCrash(CONTENT, "e1");
     assertFalse(quarantine.isQuarantined(CONTENT));
   }
 
   @Test
-  void otherContentsAreNotHeldBack() {
-    hold();
+  void otherContentsAreNotQuarantined() {
+    quarantineContent();
     assertFalse(quarantine.isQuarantined(content("another letter")));
   }
 
   @Test
-  void answerInBetweenClears() {
-    endUnder(CONTENT, "e1");
-    endUnder(CONTENT, "e2");
+  void answerBetweenCrashesClears() {
+    recordCrash(CONTENT, "e1");
+    recordCrash(CONTENT, "e2");
     quarantine.recordAnswer(CONTENT);
-    endUnder(CONTENT, "e3");
+    recordCrash(CONTENT, "e3");
     assertFalse(quarantine.isQuarantined(CONTENT));
     assertFalse(quarantine.isEmpty());
   }
 
   @Test
-  void contentMayRunAgainAfterTenMinutesAndIsHeldBackAtTheNextEnd() {
-    hold();
-    clock.advance(Quarantine.HELD_FOR);
+  void quarantineExpiresAfterTenMinutesAndResumesAtTheNextCrash() {
+    quarantineContent();
+    clock.advance(Quarantine.QUARANTINE_DURATION);
     assertFalse(quarantine.isQuarantined(CONTENT));
-    assertTrue(endUnder(CONTENT, "e4"));
+    assertTrue(recordCrash(CONTENT, "e4"));
     assertTrue(quarantine.isQuarantined(CONTENT));
   }
 
   @Test
-  void endsFarApartAreTakenForChance() {
-    endUnder(CONTENT, "e1");
-    endUnder(CONTENT, "e2");
+  void crashesFarApartDoNotQuarantine() {
+    recordCrash(CONTENT, "e1");
+    recordCrash(CONTENT, "e2");
     clock.advance(Duration.ofMinutes(11));
-    endUnder(CONTENT, "e3");
+    recordCrash(CONTENT, "e3");
     assertFalse(quarantine.isQuarantined(CONTENT));
   }
 
   @Test
-  void suspectsAreBoundedAndWhatIsHeldBackStays() {
-    hold();
-    for (int i = 0; i < 2 * Quarantine.MOST_SUSPECTS; i++) {
-      endUnder(content("letter " + i), "e4");
+  void suspectsAreBoundedAndQuarantinedContentsStay() {
+    quarantineContent();
+    for (int i = 0; i < 2 * Quarantine.MAX_SUSPECTS; i++) {
+      recordCrash(content("letter " + i), "e4");
     }
-    assertTrue(quarantine.size() <= Quarantine.MOST_SUSPECTS);
+    assertTrue(quarantine.size() <= Quarantine.MAX_SUSPECTS);
     assertTrue(quarantine.isQuarantined(CONTENT));
   }
 
   @Test
-  void remainingTimeIsThatUntilTheContentMayRunAgain() {
+  void remainingIsTheTimeUntilTheContentMayRunAgain() {
     assertEquals(Duration.ZERO, quarantine.remaining(CONTENT));
-    hold();
+    quarantineContent();
     clock.advance(Duration.ofMinutes(4));
     assertEquals(Duration.ofMinutes(6), quarantine.remaining(CONTENT));
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/package-info.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of what is held back because endpoints end under it. */
+/** Tests of the quarantine of requests that crash endpoints. */
 package org.vaneworks.tests.quarantine;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/CrashDetector.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/CrashDetector.java
@@ -14,80 +14,88 @@
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 
 /**
- * Puts the end of an endpoint's process down to the requests that it had just begun.
+ * Attributes the crash of an endpoint's process to the requests that it had just begun.
  *
- * <p>A broken connection alone shows no end: links fail too. It counts once the endpoint's box
- * refuses connections, a later run of the endpoint shows, or the endpoint stops listing itself
- * without having announced that it leaves. Confined to the node's event loop.
+ * <p>A broken connection alone does not prove a crash, since links fail too. It counts as a crash
+ * once the endpoint's box refuses connections, a later incarnation of the endpoint appears, or the
+ * endpoint disappears from the list without having announced that it leaves. Confined to the node's
+ * event loop.
  */
 public final class CrashDetector {
-  /** A request that has run for longer did not end the endpoint by being begun. */
-  public static final Duration JUST_BEGUN = Duration.ofSeconds(1);
+  /**
+   * Maximum age of a request that may have caused a crash; a request that ran for longer did not
+   * crash the endpoint by being begun.
+   */
+  public static final Duration MAX_REQUEST_AGE = Duration.ofSeconds(1);
 
   /**
-   * An end is put down to connections that broke this lately. An entry goes after three missed
-   * renewals of 1.2 s, and a node of a large fleet asks for changes each 1.75 s.
+   * Maximum time between a broken connection and the proof of the crash. A list entry expires after
+   * three missed renewals of 1.2 s, and a node of a large fleet polls for changes every 1.75 s.
    */
-  private static final Duration KNOWN_WITHIN = Duration.ofSeconds(7);
+  private static final Duration MAX_DETECTION_DELAY = Duration.ofSeconds(7);
 
-  private record Lost(RequestStart start, long at) {}
+  private record LostRequest(RequestStart start, long at) {}
 
   private final Executor clock;
-  private final Consumer<EndpointCrash> onEnd;
-  private final Map<TrackedEndpoint, List<Lost>> lostAt = new HashMap<>();
+  private final Consumer<EndpointCrash> onCrash;
+  private final Map<TrackedEndpoint, List<LostRequest>> lostRequests = new HashMap<>();
 
-  private CrashDetector(Executor clock, Fleet fleet, Consumer<EndpointCrash> onEnd) {
+  private CrashDetector(Executor clock, Fleet fleet, Consumer<EndpointCrash> onCrash) {
     this.clock = checkNotNull(clock);
-    this.onEnd = checkNotNull(onEnd);
-    fleet.onProcessGone(this::processGone);
-    fleet.onRemoval(this::removed);
+    this.onCrash = checkNotNull(onCrash);
+    fleet.onProcessGone(this::processDown);
+    fleet.onRemoval(this::endpointRemoved);
   }
 
-  /** Returns an observer of a fleet's endpoints that hands on each end that it puts down. */
-  public static CrashDetector watch(Executor clock, Fleet fleet, Consumer<EndpointCrash> onEnd) {
-    return new CrashDetector(clock, fleet, onEnd);
+  /**
+   * Returns a detector that observes the endpoints of a fleet.
+   *
+   * @param onCrash receives each crash that is attributed to a request
+   */
+  public static CrashDetector watch(Executor clock, Fleet fleet, Consumer<EndpointCrash> onCrash) {
+    return new CrashDetector(clock, fleet, onCrash);
   }
 
   /**
-   * Notes that an endpoint was lost while it had a request.
+   * Records that an endpoint was lost while it processed a request.
    *
-   * @param start the request's start at that endpoint or its path
-   * @param ranFor since the request was sent there, or since the first part of its answer
+   * @param start the start of the request at that endpoint or on its path
+   * @param ranFor time since the request was sent there, or since the first part of its answer
    */
   public void recordLoss(TrackedEndpoint endpoint, RequestStart start, Duration ranFor) {
-    if (ranFor.compareTo(JUST_BEGUN) > 0) {
+    if (ranFor.compareTo(MAX_REQUEST_AGE) > 0) {
       return;
     }
     if (endpoint.processGone()) {
-      tell(endpoint, start);
+      reportCrash(endpoint, start);
     } else if (!endpoint.delisted()) {
-      lostAt
-          .computeIfAbsent(endpoint, unknown -> new ArrayList<>())
-          .add(new Lost(start, clock.currentTime(NANOSECONDS)));
+      lostRequests
+          .computeIfAbsent(endpoint, key -> new ArrayList<>())
+          .add(new LostRequest(start, clock.currentTime(NANOSECONDS)));
     }
   }
 
-  private void removed(TrackedEndpoint endpoint) {
+  private void endpointRemoved(TrackedEndpoint endpoint) {
     if (!endpoint.endpoint().leaving()) {
-      processGone(endpoint);
+      processDown(endpoint);
     }
-    lostAt.remove(endpoint);
+    lostRequests.remove(endpoint);
   }
 
-  private void processGone(TrackedEndpoint endpoint) {
-    List<Lost> lost = lostAt.remove(endpoint);
+  private void processDown(TrackedEndpoint endpoint) {
+    List<LostRequest> lost = lostRequests.remove(endpoint);
     if (lost == null) {
       return;
     }
-    long since = clock.currentTime(NANOSECONDS) - KNOWN_WITHIN.toNanos();
+    long oldest = clock.currentTime(NANOSECONDS) - MAX_DETECTION_DELAY.toNanos();
     lost.stream()
-        .filter(request -> request.at() >= since)
-        .forEach(request -> tell(endpoint, request.start()));
+        .filter(request -> request.at() >= oldest)
+        .forEach(request -> reportCrash(endpoint, request.start()));
   }
 
-  private void tell(TrackedEndpoint endpoint, RequestStart start) {
-    if (start.takeEnd()) {
-      onEnd.accept(new EndpointCrash(start.content(), endpoint.endpoint().run()));
+  private void reportCrash(TrackedEndpoint endpoint, RequestStart start) {
+    if (start.claimCrash()) {
+      onCrash.accept(new EndpointCrash(start.content(), endpoint.endpoint().run()));
     }
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/EndpointCrash.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/EndpointCrash.java
@@ -11,40 +11,47 @@
 import org.vaneworks.state.RequestContent;
 
 /**
- * One run of an endpoint ended just after it had begun a request.
+ * A crash of one incarnation of an endpoint just after it had begun a request.
  *
- * @param content what the request asked for
- * @param endpointRun names the run; no two runs share it
+ * @param content the content of the request
+ * @param incarnationId unique id of the incarnation
  */
-public record EndpointCrash(RequestContent content, String endpointRun) {
-  private static final char BETWEEN_FIELDS = ' ';
-  private static final char BETWEEN_ENDS = '\n';
+public record EndpointCrash(RequestContent content, String incarnationId) {
+  private static final char FIELD_SEPARATOR = ' ';
+  private static final char CRASH_SEPARATOR = '\n';
 
-  /** Checks that the run has a name of one line. */
+  /** Checks that the id is not empty and has no line break. */
   public EndpointCrash {
     checkNotNull(content);
-    checkArgument(!endpointRun.isEmpty(), "endpointRun is empty");
-    checkArgument(endpointRun.indexOf(BETWEEN_ENDS) < 0, "endpointRun has lines: %s", endpointRun);
+    checkArgument(!incarnationId.isEmpty(), "incarnationId is empty");
+    checkArgument(
+        incarnationId.indexOf(CRASH_SEPARATOR) < 0,
+        "incarnationId contains a line break: %s",
+        incarnationId);
   }
 
-  /** Returns ends as the value of one key. */
-  public static String write(Collection<EndpointCrash> ends) {
-    return ends.stream()
-        .map(end -> end.content().digest() + BETWEEN_FIELDS + end.endpointRun())
-        .collect(Collectors.joining(String.valueOf(BETWEEN_ENDS)));
+  /** Serializes crashes to the value of one store key. */
+  public static String write(Collection<EndpointCrash> crashes) {
+    return crashes.stream()
+        .map(crash -> crash.content().digest() + FIELD_SEPARATOR + crash.incarnationId())
+        .collect(Collectors.joining(String.valueOf(CRASH_SEPARATOR)));
   }
 
-  /** Reads what {@link #write} returned; fails with {@link IllegalArgumentException} otherwise. */
+  /**
+   * Parses a value that {@link #write} returned.
+   *
+   * @throws IllegalArgumentException if the value has another format
+   */
   public static ImmutableList<EndpointCrash> read(String value) {
-    return Splitter.on(BETWEEN_ENDS)
+    return Splitter.on(CRASH_SEPARATOR)
         .splitToStream(value)
         .map(EndpointCrash::readOne)
         .collect(ImmutableList.toImmutableList());
   }
 
   private static EndpointCrash readOne(String line) {
-    List<String> fields = Splitter.on(BETWEEN_FIELDS).limit(2).splitToList(line);
-    checkArgument(fields.size() == 2, "not a content and a run: %s", line);
+    List<String> fields = Splitter.on(FIELD_SEPARATOR).limit(2).splitToList(line);
+    checkArgument(fields.size() == 2, "expected a content and an incarnation id: %s", line);
     return new EndpointCrash(new RequestContent(fields.get(0)), fields.get(1));
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/Quarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/Quarantine.java
@@ -21,163 +21,168 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * Requests that this node holds back: each of several endpoints ended just after it had begun the
- * same request.
+ * The requests that this node quarantines because several endpoints each crashed just after they
+ * had begun the same request.
  *
- * <p>One end proves little, since everything that an endpoint has just begun when it ends is
- * suspected alike. A request that was there each time is held back; whatever is answered in between
- * is cleared. What was held back may run again once that is over, and is held back anew at the next
- * end. Confined to the node's event loop.
+ * <p>A single crash proves little, since every request that the endpoint had just begun is
+ * suspected alike. A request that was present each time is quarantined; a request that is answered
+ * in between is cleared. When the quarantine of a request expires, the request may run again and is
+ * quarantined anew at the next crash. Confined to the node's event loop.
  */
 public final class Quarantine {
   /**
-   * Ends of different runs after which a request is held back. With two, requests that moved on
-   * together from one lost endpoint to the next are held back with the one that did it; each end
-   * more costs what one more endpoint runs: 15 to 90 requests were lost with one in the logs of
-   * eight nodes before 33 engines.
+   * Number of crashes, of different incarnations, after which a request is quarantined. With two,
+   * requests that moved together from one lost endpoint to the next would be quarantined with the
+   * one that caused the crashes. Each additional crash costs the requests of one more endpoint: 15
+   * to 90 requests were lost with one endpoint, according to logs of eight nodes in front of 33
+   * engines.
    */
-  static final int ENDS_THAT_HOLD = 3;
+  static final int CRASH_THRESHOLD = 3;
 
-  /** The longest that the platform's store keeps what is written under a lease. */
-  public static final Duration HELD_FOR = Duration.ofMinutes(10);
+  /** Duration of a quarantine: the maximum lifetime of a lease in the platform's store. */
+  public static final Duration QUARANTINE_DURATION = Duration.ofMinutes(10);
 
-  /** A content under which nothing has ended for so long is forgotten. */
-  private static final Duration REMEMBERED_FOR = Duration.ofMinutes(10);
+  /** Time without a crash after which a suspect is forgotten. */
+  private static final Duration SUSPECT_RETENTION = Duration.ofMinutes(10);
 
-  /** Bounds what is remembered to about a megabyte, by arithmetic. */
-  public static final int MOST_SUSPECTS = 5000;
+  /** Maximum number of suspects; limits their memory to about 1 MB. */
+  public static final int MAX_SUSPECTS = 5000;
 
-  /** What is known of one content. */
+  /** The crashes and the quarantine of one request content. */
   private static final class Suspect {
-    private final Set<String> endedRuns = new HashSet<>();
-    private int endsBefore;
-    private long lastEndAt;
-    private boolean held;
-    private long heldUntil;
-
-    int ends() {
-      return endsBefore + endedRuns.size();
+    private final Set<String> crashedIncarnations = new HashSet<>();
+    private int earlierCrashes;
+    private long lastCrashAt;
+    private boolean quarantined;
+    private long quarantinedUntil;
+
+    int crashes() {
+      return earlierCrashes + crashedIncarnations.size();
     }
   }
 
   private final Executor clock;
   private final Counters counters;
   private final Map<RequestContent, Suspect> suspects = new LinkedHashMap<>();
-  private final List<Consumer<RequestContent>> holdListeners = new ArrayList<>();
+  private final List<Consumer<RequestContent>> quarantineListeners = new ArrayList<>();
 
   private Quarantine(Executor clock, Counters counters) {
     this.clock = checkNotNull(clock);
     this.counters = checkNotNull(counters);
   }
 
-  /** Returns a quarantine that holds nothing. */
+  /** Returns an empty quarantine. */
   public static Quarantine create(Executor clock, Counters counters) {
     return new Quarantine(clock, counters);
   }
 
-  /** Calls back when a content is held back from now on. */
+  /** Adds a listener that is called when a content is quarantined. */
   public void onQuarantined(Consumer<RequestContent> listener) {
-    holdListeners.add(listener);
+    quarantineListeners.add(listener);
   }
 
-  /** Returns whether no request is suspected, so that nobody need work out a content. */
+  /**
+   * Returns whether no request is suspected, in which case callers need not compute the content of
+   * a request.
+   */
   public boolean isEmpty() {
     return suspects.isEmpty();
   }
 
-  /** Returns how many contents are suspected or held back. */
+  /** Returns the number of contents that are suspected or quarantined. */
   public int size() {
     return suspects.size();
   }
 
-  /** Returns whether requests of that content are held back. */
+  /** Returns whether requests with this content are quarantined. */
   public boolean isQuarantined(RequestContent content) {
     Suspect suspect = suspects.get(content);
-    if (suspect == null || !suspect.held) {
+    if (suspect == null || !suspect.quarantined) {
       return false;
     }
-    if (now() >= suspect.heldUntil) {
-      release(content, "its time is over");
+    if (now() >= suspect.quarantinedUntil) {
+      release(content, "the quarantine expired");
     }
-    return suspect.held;
+    return suspect.quarantined;
   }
 
-  /** Returns whether a content is held back at the next end under it. */
+  /** Returns whether the content would be quarantined at its next crash. */
   public boolean isOneCrashFromQuarantine(RequestContent content) {
     Suspect suspect = suspects.get(content);
-    return suspect != null && !suspect.held && suspect.ends() == ENDS_THAT_HOLD - 1;
+    return suspect != null && !suspect.quarantined && suspect.crashes() == CRASH_THRESHOLD - 1;
   }
 
-  /** Returns how long a content is still held back; zero if it isn't. */
+  /** Returns the remaining time of a content's quarantine; zero if it is not quarantined. */
   public Duration remaining(RequestContent content) {
     return isQuarantined(content)
-        ? Duration.ofNanos(suspects.get(content).heldUntil - now())
+        ? Duration.ofNanos(suspects.get(content).quarantinedUntil - now())
         : Duration.ZERO;
   }
 
   /**
-   * Notes that a run of an endpoint ended just after it had begun a request.
+   * Records that an incarnation of an endpoint crashed just after it had begun a request.
    *
-   * @return whether the content is held back because of this end
+   * @return whether the content is quarantined because of this crash
    */
-  public boolean recordCrash(EndpointCrash end) {
-    forgetOld();
-    Suspect suspect = suspects.computeIfAbsent(end.content(), unknown -> new Suspect());
-    if (!suspect.endedRuns.add(end.endpointRun())) {
+  public boolean recordCrash(EndpointCrash crash) {
+    removeExpiredSuspects();
+    Suspect suspect = suspects.computeIfAbsent(crash.content(), key -> new Suspect());
+    if (!suspect.crashedIncarnations.add(crash.incarnationId())) {
       return false;
     }
-    suspect.lastEndAt = now();
+    suspect.lastCrashAt = now();
     counters.count(Metric.QUARANTINE, "end");
-    if (suspect.held || suspect.ends() < ENDS_THAT_HOLD) {
+    if (suspect.quarantined || suspect.crashes() < CRASH_THRESHOLD) {
       return false;
     }
-    hold(end.content(), suspect.ends() + " endpoints ended when they had begun it");
+    quarantine(
+        crash.content(), suspect.crashes() + " endpoints crashed just after they had begun it");
     return true;
   }
 
-  /** Holds a content back from now on. */
-  void hold(RequestContent content, String cause) {
-    Suspect suspect = suspects.computeIfAbsent(content, unknown -> new Suspect());
-    suspect.lastEndAt = now();
-    if (suspect.held) {
+  /** Quarantines a content from now on. */
+  void quarantine(RequestContent content, String cause) {
+    Suspect suspect = suspects.computeIfAbsent(content, key -> new Suspect());
+    suspect.lastCrashAt = now();
+    if (suspect.quarantined) {
       return;
     }
-    suspect.held = true;
-    suspect.heldUntil = now() + HELD_FOR.toNanos();
+    suspect.quarantined = true;
+    suspect.quarantinedUntil = now() + QUARANTINE_DURATION.toNanos();
     counters.count(Metric.QUARANTINE, "held");
     EventLog.warn(Event.QUARANTINE_BEGAN, "content", content, "cause", cause);
-    ImmutableList.copyOf(holdListeners).forEach(listener -> listener.accept(content));
+    ImmutableList.copyOf(quarantineListeners).forEach(listener -> listener.accept(content));
   }
 
-  /** Lets a content run again; one more end holds it back anew. */
+  /** Ends the quarantine of a content; one more crash quarantines it again. */
   void release(RequestContent content, String cause) {
     Suspect suspect = suspects.get(content);
-    if (suspect == null || !suspect.held) {
+    if (suspect == null || !suspect.quarantined) {
       return;
     }
-    suspect.held = false;
-    suspect.endedRuns.clear();
-    suspect.endsBefore = ENDS_THAT_HOLD - 1;
-    suspect.lastEndAt = now();
+    suspect.quarantined = false;
+    suspect.crashedIncarnations.clear();
+    suspect.earlierCrashes = CRASH_THRESHOLD - 1;
+    suspect.lastCrashAt = now();
     counters.count(Metric.QUARANTINE, "released");
     EventLog.info(Event.QUARANTINE_ENDED, "content", content, "cause", cause);
   }
 
-  /** Clears a content: an endpoint answered it whole. */
+  /** Clears a content that an endpoint answered completely. */
   public void recordAnswer(RequestContent content) {
     Suspect suspect = suspects.get(content);
-    if (suspect != null && !suspect.held) {
+    if (suspect != null && !suspect.quarantined) {
       suspects.remove(content);
       counters.count(Metric.QUARANTINE, "cleared");
     }
   }
 
-  private void forgetOld() {
-    long before = now() - REMEMBERED_FOR.toNanos();
-    suspects.values().removeIf(suspect -> !suspect.held && suspect.lastEndAt < before);
+  private void removeExpiredSuspects() {
+    long oldest = now() - SUSPECT_RETENTION.toNanos();
+    suspects.values().removeIf(suspect -> !suspect.quarantined && suspect.lastCrashAt < oldest);
     Iterator<Suspect> oldestFirst = suspects.values().iterator();
-    while (suspects.size() >= MOST_SUSPECTS && oldestFirst.hasNext()) {
-      if (!oldestFirst.next().held) {
+    while (suspects.size() >= MAX_SUSPECTS && oldestFirst.hasNext()) {
+      if (!oldestFirst.next().quarantined) {
         oldestFirst.remove();
       }
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/RequestStart.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/RequestStart.java
@@ -5,21 +5,21 @@
 import org.vaneworks.state.RequestContent;
 
 /**
- * One start of a request: sent to an endpoint, or given another path.
+ * One start of a request: the request is sent to an endpoint or is assigned another path.
  *
- * <p>At most one end is put down to it. What a request does to endpoints shows one after the other,
- * at each start of it; several engines of its path that end together have a cause of their own.
- * Confined to the node's event loop.
+ * <p>At most one crash is attributed to a start. A request that crashes endpoints does so one
+ * endpoint at a time, at each of its starts; if several engines of its path crash together, there
+ * is another cause. Confined to the node's event loop.
  */
 public final class RequestStart {
   private final RequestContent content;
-  private boolean putDown;
+  private boolean crashAttributed;
 
   private RequestStart(RequestContent content) {
     this.content = checkNotNull(content);
   }
 
-  /** Returns a start of a request to which no end is put down yet. */
+  /** Returns a start to which no crash is attributed yet. */
   public static RequestStart of(RequestContent content) {
     return new RequestStart(content);
   }
@@ -28,10 +28,10 @@
     return content;
   }
 
-  /** Takes the one end that may be put down to it; returns false if it was taken before. */
-  boolean takeEnd() {
-    boolean first = !putDown;
-    putDown = true;
+  /** Attributes a crash to this start; returns false if one was attributed before. */
+  boolean claimCrash() {
+    boolean first = !crashAttributed;
+    crashAttributed = true;
     return first;
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/SharedQuarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/SharedQuarantine.java
@@ -28,35 +28,53 @@
 import org.vaneworks.telemetry.EventLog;
 
 /**
- * Keeps the quarantines of all nodes alike, by way of the shared store.
+ * Shares crashes and quarantined requests between all nodes through the shared store.
  *
- * <p>A request that ends endpoints comes back at any node, also at one that has just started. So
- * each node writes the ends that it saw, and all count all of them; what is held back is written
- * once, under a lease that bounds it. Only what had just begun at an endpoint that ended is
- * written, by one call a node and end; a calm fleet writes nothing. Confined to the node's event
- * loop.
+ * <p>A request that crashes endpoints may be retried at any node, including one that has just
+ * started. Each node therefore writes the crashes that it detected, and every node counts the
+ * crashes of all nodes. A quarantine is written once, under a lease that limits its duration. Only
+ * requests that had just begun at a crashed endpoint are written, with one call per node and crash;
+ * without crashes nothing is written. Confined to the node's event loop.
  */
 public final class SharedQuarantine implements PrefixFollower.Listener {
-  private static final String ENDS = "ends/";
-  private static final String HELD = "held/";
+  private static final String CRASHES_PREFIX = "ends/";
+  private static final String QUARANTINED_PREFIX = "held/";
 
-  /** Requests that are lost with one endpoint are written together. */
-  private static final Duration GATHER = Duration.ofMillis(20);
+  /**
+   * Delay before crashes are written, so that the requests lost with one endpoint are written
+   * together.
+   */
+  private static final Duration BATCH_DELAY = Duration.ofMillis(20);
 
-  /** A node in touch with the store has to know of an end within three seconds. */
-  private static final Duration RETRY = Duration.ofMillis(500);
+  /**
+   * Delay before a failed write is retried; a node that is connected to the store has to learn of a
+   * crash within three seconds.
+   */
+  private static final Duration RETRY_DELAY = Duration.ofMillis(500);
 
-  /** Nodes that follow the store know an end within a second or two; a start reads older ones. */
-  private static final Duration ENDS_KEPT = Duration.ofMinutes(4);
+  /**
+   * Lifetime of crashes in the store. Nodes that watch the store learn of a crash within a second
+   * or two; a node that starts reads older ones.
+   */
+  private static final Duration CRASH_LIFETIME = Duration.ofMinutes(4);
 
-  /** After this, others write what the node that saw the last end has not written. */
-  private static final Duration WRITTEN_WITHIN = Duration.ofSeconds(2);
+  /**
+   * Time after which other nodes write a quarantine that the node which detected the last crash has
+   * not written.
+   */
+  private static final Duration WRITE_DELAY_OF_OTHERS = Duration.ofSeconds(2);
 
-  /** After an outage of the store, in which leases may run out, keys that go say nothing. */
-  private static final Duration AFTER_SILENCE = Duration.ofSeconds(5);
+  /**
+   * Time after a store outage during which removed keys are not taken as released quarantines,
+   * because leases may expire in an outage.
+   */
+  private static final Duration OUTAGE_GRACE_PERIOD = Duration.ofSeconds(5);
 
-  /** Ends that wait to be written while the store is away; some 60 bytes each. */
-  private static final int MOST_UNWRITTEN = 1000;
+  /**
+   * Maximum number of crashes that wait to be written while the store is unavailable, about 60
+   * bytes each.
+   */
+  private static final int MAX_UNWRITTEN = 1000;
 
   private final Executor clock;
   private final Random random;
@@ -64,19 +82,22 @@
   private final String prefix;
   private final String node;
   private final Quarantine quarantine;
-  private final CrashDetector endpoints;
+  private final CrashDetector crashDetector;
   private final Set<EndpointCrash> unwritten = new LinkedHashSet<>();
 
-  /** What this node wrote, and when: it alone can write it again. */
+  /**
+   * The crashes that this node wrote and the time of each write; only this node can write them
+   * again.
+   */
   private final Map<EndpointCrash, Long> writtenAt = new LinkedHashMap<>();
 
-  private final Set<RequestContent> heldInStore = new HashSet<>();
-  private final Set<String> takenKeys = new HashSet<>();
+  private final Set<RequestContent> quarantinedInStore = new HashSet<>();
+  private final Set<String> appliedKeys = new HashSet<>();
   private OptionalLong lease = OptionalLong.empty();
   private long leaseOpenedAt;
-  private long storeSilentAt = Long.MIN_VALUE / 2;
+  private long storeOutageAt = Long.MIN_VALUE / 2;
   private boolean writing;
-  private int written;
+  private int writeCount;
 
   private SharedQuarantine(
       Executor clock,
@@ -92,14 +113,14 @@
     this.prefix = checkNotNull(prefix);
     this.node = checkNotNull(node);
     quarantine = Quarantine.create(clock, counters);
-    endpoints = CrashDetector.watch(clock, fleet, this::seen);
+    crashDetector = CrashDetector.watch(clock, fleet, this::crashDetected);
   }
 
   /**
-   * Returns a quarantine that holds nothing and writes nothing before an endpoint ends.
+   * Returns an empty quarantine that writes nothing until an endpoint crashes.
    *
-   * @param prefix of its keys in the store
-   * @param node names this run of this node; no two runs share it
+   * @param prefix prefix of its keys in the store
+   * @param node unique id of this run of the node
    */
   public static SharedQuarantine create(
       Executor clock,
@@ -112,208 +133,214 @@
     return new SharedQuarantine(clock, random, store, prefix, node, fleet, counters);
   }
 
-  /** Returns what is held back. */
+  /** Returns the quarantined requests of this node. */
   public Quarantine quarantine() {
     return quarantine;
   }
 
-  /** Returns the observer that is to be told of requests that lost their endpoint. */
+  /** Returns the detector to notify of requests that lost their endpoint. */
   public CrashDetector crashDetector() {
-    return endpoints;
+    return crashDetector;
   }
 
-  private void seen(EndpointCrash end) {
-    if (quarantine.recordCrash(end)) {
-      // This node completed the proof, so it is the one to write it.
-      writeHeld(end.content());
+  private void crashDetected(EndpointCrash crash) {
+    if (quarantine.recordCrash(crash)) {
+      // This node detected the crash that led to the quarantine, so it writes the quarantine.
+      writeQuarantine(crash.content());
     }
-    if (unwritten.size() < MOST_UNWRITTEN && unwritten.add(end)) {
-      writeLater(GATHER);
+    if (unwritten.size() < MAX_UNWRITTEN && unwritten.add(crash)) {
+      scheduleWrite(BATCH_DELAY);
     }
   }
 
-  private void writeLater(Duration wait) {
+  private void scheduleWrite(Duration delay) {
     if (!writing) {
       writing = true;
-      clock.schedule(this::writeEnds, wait.toNanos(), NANOSECONDS);
+      clock.schedule(this::writeCrashes, delay.toNanos(), NANOSECONDS);
     }
   }
 
-  private void writeEnds() {
-    boolean young = now() - leaseOpenedAt < ENDS_KEPT.dividedBy(2).toNanos();
-    if (lease.isPresent() && young) {
-      writeEnds(lease.getAsLong());
+  private void writeCrashes() {
+    boolean leaseIsFresh = now() - leaseOpenedAt < CRASH_LIFETIME.dividedBy(2).toNanos();
+    if (lease.isPresent() && leaseIsFresh) {
+      writeCrashes(lease.getAsLong());
       return;
     }
     Async.onDone(
-        store.openLease(ENDS_KEPT),
+        store.openLease(CRASH_LIFETIME),
         clock,
-        (opened, failure) -> {
+        (leaseId, failure) -> {
           if (failure != null) {
-            writeAgain();
+            retryWrite();
             return;
           }
-          lease = OptionalLong.of(opened);
+          lease = OptionalLong.of(leaseId);
           leaseOpenedAt = now();
-          writeEnds(opened);
+          writeCrashes(leaseId);
         });
   }
 
-  private void writeEnds(long underLease) {
-    ImmutableList<EndpointCrash> ends = ImmutableList.copyOf(unwritten);
-    // A call whose answer was lost may still be done: each has a key of its own, and ends that
-    // are written twice count once.
-    String key = prefix + ENDS + node + "/" + written++;
+  private void writeCrashes(long leaseId) {
+    ImmutableList<EndpointCrash> crashes = ImmutableList.copyOf(unwritten);
+    // A call whose answer was lost may still take effect, so each call uses its own key; a crash
+    // that is written twice counts once.
+    String key = prefix + CRASHES_PREFIX + node + "/" + writeCount++;
     Async.onDone(
-        store.create(key, EndpointCrash.write(ends), underLease),
+        store.create(key, EndpointCrash.write(crashes), leaseId),
         clock,
         (created, failure) -> {
           if (failure != null) {
-            dropLeaseIfOver(failure);
-            writeAgain();
+            dropLeaseIfExpired(failure);
+            retryWrite();
             return;
           }
-          unwritten.removeAll(ends);
-          noteWritten(ends);
+          unwritten.removeAll(crashes);
+          recordWritten(crashes);
           writing = false;
           if (!unwritten.isEmpty()) {
-            writeLater(GATHER);
+            scheduleWrite(BATCH_DELAY);
           }
         });
   }
 
-  private void noteWritten(ImmutableList<EndpointCrash> ends) {
-    ends.forEach(end -> writtenAt.put(end, now()));
-    while (writtenAt.size() > MOST_UNWRITTEN) {
+  private void recordWritten(ImmutableList<EndpointCrash> crashes) {
+    crashes.forEach(crash -> writtenAt.put(crash, now()));
+    while (writtenAt.size() > MAX_UNWRITTEN) {
       writtenAt.remove(writtenAt.keySet().iterator().next());
     }
   }
 
-  private void dropLeaseIfOver(Throwable failure) {
+  private void dropLeaseIfExpired(Throwable failure) {
     if (failure instanceof SharedStoreException e
         && e.kind() == SharedStoreException.Kind.LEASE_OVER) {
       lease = OptionalLong.empty();
     }
   }
 
-  private void writeAgain() {
+  private void retryWrite() {
     writing = false;
-    writeLater(RETRY);
+    scheduleWrite(RETRY_DELAY);
   }
 
-  /** Writes that a content is held back, unless the store says so already. */
-  private void writeHeld(RequestContent content) {
-    if (heldInStore.contains(content) || !quarantine.isQuarantined(content)) {
+  /** Writes the quarantine of a content unless the store contains it already. */
+  private void writeQuarantine(RequestContent content) {
+    if (quarantinedInStore.contains(content) || !quarantine.isQuarantined(content)) {
       return;
     }
     Async.onDone(
         Async.compose(
-            store.openLease(Quarantine.HELD_FOR),
-            (opened, failure) ->
+            store.openLease(Quarantine.QUARANTINE_DURATION),
+            (leaseId, failure) ->
                 failure == null
-                    ? store.create(prefix + HELD + content, "", opened)
+                    ? store.create(prefix + QUARANTINED_PREFIX + content, "", leaseId)
                     : CompletableFuture.failedFuture(failure)),
         clock,
         (created, failure) -> {
           if (failure != null) {
-            clock.schedule(() -> writeHeld(content), RETRY.toNanos(), NANOSECONDS);
+            clock.schedule(() -> writeQuarantine(content), RETRY_DELAY.toNanos(), NANOSECONDS);
           }
         });
   }
 
   @Override
   public void replace(ImmutableList<StoredItem> items) {
-    ImmutableList<RequestContent> before = ImmutableList.copyOf(heldInStore);
-    heldInStore.clear();
+    ImmutableList<RequestContent> previous = ImmutableList.copyOf(quarantinedInStore);
+    quarantinedInStore.clear();
     Set<String> keys = new HashSet<>();
     for (StoredItem item : items) {
       keys.add(item.key());
-      take(item);
+      apply(item);
     }
-    takenKeys.retainAll(keys);
-    before.stream().filter(content -> !heldInStore.contains(content)).forEach(this::gone);
+    appliedKeys.retainAll(keys);
+    previous.stream()
+        .filter(content -> !quarantinedInStore.contains(content))
+        .forEach(this::quarantineRemoved);
   }
 
-  /** Tells again what a store that has come back from a copy may have forgotten. */
+  /**
+   * Writes this node's recent crashes again, since a store that was restored from a backup may have
+   * lost them.
+   */
   @Override
   public void newEra(long era) {
-    storeSilentAt = now();
+    storeOutageAt = now();
     lease = OptionalLong.empty();
-    long oldest = now() - ENDS_KEPT.toNanos();
+    long oldest = now() - CRASH_LIFETIME.toNanos();
     writtenAt.values().removeIf(at -> at < oldest);
     unwritten.addAll(writtenAt.keySet());
     if (!unwritten.isEmpty()) {
       EventLog.info(Event.QUARANTINE_TOLD_AGAIN, "ends", unwritten.size(), "era", era);
-      writeLater(GATHER);
+      scheduleWrite(BATCH_DELAY);
     }
   }
 
   @Override
   public void silent(StoreSilence silence) {
-    storeSilentAt = now();
+    storeOutageAt = now();
   }
 
   @Override
   public void change(StoreChanges.Change change) {
     if (change.removed()) {
-      removed(change.item());
+      itemRemoved(change.item());
     } else {
-      take(change.item());
+      apply(change.item());
     }
   }
 
-  private void take(StoredItem item) {
+  private void apply(StoredItem item) {
     String name = item.key().substring(prefix.length());
     try {
-      if (name.startsWith(HELD)) {
-        takeHeld(new RequestContent(name.substring(HELD.length())));
-      } else if (name.startsWith(ENDS) && takenKeys.add(item.key())) {
-        // Once only: what was answered since has cleared it.
-        EndpointCrash.read(item.value()).forEach(this::heard);
+      if (name.startsWith(QUARANTINED_PREFIX)) {
+        applyQuarantine(new RequestContent(name.substring(QUARANTINED_PREFIX.length())));
+      } else if (name.startsWith(CRASHES_PREFIX) && appliedKeys.add(item.key())) {
+        // Each key is applied once only: later answers may have cleared its contents.
+        EndpointCrash.read(item.value()).forEach(this::crashReported);
       }
     } catch (IllegalArgumentException e) {
       EventLog.warn(Event.STORE_VALUE_UNREADABLE, "key", item.key(), "cause", e.getMessage());
     }
   }
 
-  private void takeHeld(RequestContent content) {
-    heldInStore.add(content);
-    quarantine.hold(content, "the store holds it");
+  private void applyQuarantine(RequestContent content) {
+    quarantinedInStore.add(content);
+    quarantine.quarantine(content, "quarantined in the store");
   }
 
-  private void heard(EndpointCrash end) {
-    if (quarantine.recordCrash(end)) {
-      writeHeldLater(end.content());
+  private void crashReported(EndpointCrash crash) {
+    if (quarantine.recordCrash(crash)) {
+      writeQuarantineLater(crash.content());
     }
   }
 
-  private void removed(StoredItem item) {
-    takenKeys.remove(item.key());
+  private void itemRemoved(StoredItem item) {
+    appliedKeys.remove(item.key());
     String name = item.key().substring(prefix.length());
-    if (!name.startsWith(HELD)) {
+    if (!name.startsWith(QUARANTINED_PREFIX)) {
       return;
     }
     try {
-      RequestContent content = new RequestContent(name.substring(HELD.length()));
-      heldInStore.remove(content);
-      gone(content);
+      RequestContent content = new RequestContent(name.substring(QUARANTINED_PREFIX.length()));
+      quarantinedInStore.remove(content);
+      quarantineRemoved(content);
     } catch (IllegalArgumentException e) {
       EventLog.warn(Event.STORE_VALUE_UNREADABLE, "key", item.key(), "cause", e.getMessage());
     }
   }
 
-  private void gone(RequestContent content) {
-    if (now() - storeSilentAt < AFTER_SILENCE.toNanos()) {
-      writeHeldLater(content);
+  private void quarantineRemoved(RequestContent content) {
+    if (now() - storeOutageAt < OUTAGE_GRACE_PERIOD.toNanos()) {
+      writeQuarantineLater(content);
     } else {
-      quarantine.release(content, "the store no longer holds it");
+      quarantine.release(content, "removed from the store");
     }
   }
 
-  /** Writes that a content is held back, unless another node has done so by then. */
-  private void writeHeldLater(RequestContent content) {
-    long spread = (long) (WRITTEN_WITHIN.toNanos() * random.nextDouble());
-    clock.schedule(() -> writeHeld(content), WRITTEN_WITHIN.toNanos() + spread, NANOSECONDS);
+  /** Writes the quarantine of a content after a delay, unless another node has done so by then. */
+  private void writeQuarantineLater(RequestContent content) {
+    long jitter = (long) (WRITE_DELAY_OF_OTHERS.toNanos() * random.nextDouble());
+    clock.schedule(
+        () -> writeQuarantine(content), WRITE_DELAY_OF_OTHERS.toNanos() + jitter, NANOSECONDS);
   }
 
   private long now() {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Decides which requests are held back because endpoints end when they begin them.
+ * Decides which requests are quarantined because endpoints crash when they begin to process them.
  *
- * <p>Input: under which requests an endpoint was lost, and which endpoints are known to have ended;
- * what other nodes saw, through the shared store. Asked by {@code forwarding} before a request is
- * sent. Confined to the node's event loop.
+ * <p>Input: the requests during which an endpoint was lost, the endpoints known to have crashed,
+ * and the crashes that other nodes recorded in the shared store. Queried by {@code forwarding}
+ * before a request is sent. Confined to the node's event loop.
  */
 package org.vaneworks.coordination.quarantine;
