--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/endpoints/ServiceRouterTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/endpoints/ServiceRouterTest.java
@@ -202,7 +202,7 @@
 
     @Override
     public CompletableFuture<Void> importSession(
-        Endpoint endpoint, SessionId as, SessionExport export) {
+        Endpoint endpoint, SessionId target, SessionExport export) {
       throw new UnsupportedOperationException();
     }
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/CrashDetectorTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/CrashDetectorTest.java
@@ -114,7 +114,8 @@
 
   @Test
   void requestThatRanForLongerIsNotSuspected() {
-    detector.recordLoss(endpoint, RequestStart.of(CONTENT), CrashDetector.MAX_REQUEST_AGE.plusMillis(1));
+    detector.recordLoss(
+        endpoint, RequestStart.of(CONTENT), CrashDetector.MAX_REQUEST_AGE.plusMillis(1));
     fleet.noteNobodyListens(endpoint);
     assertEquals(List.of(), crashes);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointClient.java
@@ -24,7 +24,7 @@
   CompletableFuture<SessionExport> exportSession(Endpoint endpoint, SessionId session);
 
   /** Restores an exported session in an engine under another epoch. */
-  CompletableFuture<Void> importSession(Endpoint endpoint, SessionId as, SessionExport export);
+  CompletableFuture<Void> importSession(Endpoint endpoint, SessionId target, SessionExport export);
 
   /**
    * Releases what is kept for an address that is no longer listed. Calls in flight continue.
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointState.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointState.java
@@ -170,7 +170,7 @@
    *
    * <p>The endpoint's report lags, so this node's own starts and ends since the report are added.
    * The other nodes, which read the same report and are behind the same balancer, are assumed to
-   * have started and ended as many each.
+   * have made the same change each.
    */
   public synchronized double estimatedRunning() {
     return Math.max(inFlight, reportedRunning + (double) changeSinceReport * nodes.getAsInt());
--- a/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementController.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementController.java
@@ -44,9 +44,9 @@
   private static final Duration TICK_INTERVAL = Duration.ofMillis(200);
 
   /**
-   * Tick interval on a node that is not the controller. Its tick only serves a lease that becomes
-   * valid again after a late renewal, since {@link #wake} reports a newly acquired lease, and every
-   * node but one pays for it.
+   * Tick interval on a node that is not the controller. The tick is only needed for a lease that
+   * becomes valid again after a late renewal, since {@link #wake} reports a newly acquired lease.
+   * It is rare because all nodes but one run it without effect.
    */
   private static final Duration IDLE_TICK_INTERVAL = Duration.ofSeconds(2);
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/CrashDetector.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/CrashDetector.java
@@ -23,8 +23,8 @@
  */
 public final class CrashDetector {
   /**
-   * Maximum age of a request that may have caused a crash; a request that ran for longer did not
-   * crash the endpoint by being begun.
+   * Maximum running time of a request that is suspected of a crash. A request that ran for longer
+   * did not crash the endpoint by its start.
    */
   public static final Duration MAX_REQUEST_AGE = Duration.ofSeconds(1);
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/relay/PathPlanner.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/relay/PathPlanner.java
@@ -214,13 +214,13 @@
    * Returns the state at a boundary from which an engine of the given data centre is reached at the
    * lowest cost.
    */
-  private static int cheapestState(double[] cost, int index, int dataCentre, int dataCentres) {
-    int first = index * dataCentres;
+  private static int cheapestState(double[] cost, int index, int dataCentre, int dataCentreCount) {
+    int first = index * dataCentreCount;
     int best = first + dataCentre;
     if (index == 0) {
       return best;
     }
-    for (int state = first; state < first + dataCentres; state++) {
+    for (int state = first; state < first + dataCentreCount; state++) {
       if (cost[state] == Double.MAX_VALUE) {
         continue;
       }
@@ -234,9 +234,9 @@
   }
 
   private static Optional<EnginePath> backtrack(
-      Step[] best, double[] cost, int dataCentres, Optional<PathPart> firstPart, int layers) {
-    int state = best.length - dataCentres;
-    for (int candidate = best.length - dataCentres; candidate < best.length; candidate++) {
+      Step[] best, double[] cost, int dataCentreCount, Optional<PathPart> firstPart, int layers) {
+    int state = best.length - dataCentreCount;
+    for (int candidate = best.length - dataCentreCount; candidate < best.length; candidate++) {
       if (cost[candidate] < cost[state]) {
         state = candidate;
       }
