--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/Daemon.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/Daemon.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import org.vaneworks.coordination.Node;
-import org.vaneworks.coordination.NodeOutside;
+import org.vaneworks.coordination.NodeDependencies;
 import org.vaneworks.protocol.ClaimJson;
 import org.vaneworks.protocol.ConfigurationJson;
 import org.vaneworks.state.HostPort;
@@ -69,8 +69,8 @@
     HttpSender sender = HttpSender.create(executor);
     EventLoopGroup peerLoop = new NioEventLoopGroup(1);
     SecureRandom random = new SecureRandom();
-    NodeOutside outside =
-        new NodeOutside(
+    NodeDependencies outside =
+        new NodeDependencies(
             executor,
             new Random(random.nextLong()),
             HttpPlatformStore.at(sender, settings.platform()),
--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/DaemonSettings.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/DaemonSettings.java
@@ -138,8 +138,8 @@
     PipelineLimits limits =
         new PipelineLimits(
             fields.integer("maxReplacements", 0, 1000, usual.maxReplacements()),
-            millis(fields, "recoveryPatienceMs", usual.recoveryPatience()),
-            millis(fields, "moveOverMs", usual.moveOver()),
+            millis(fields, "recoveryPatienceMs", usual.recoveryTimeout()),
+            millis(fields, "moveOverMs", usual.migrationThreshold()),
             fields.integer("replayCharacters", 0, 1 << 30, usual.replayCharacters()));
     fields.rejectUnknown();
     return limits;
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryFleet.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryFleet.java
@@ -14,8 +14,8 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import org.vaneworks.coordination.Node;
+import org.vaneworks.coordination.NodeDependencies;
 import org.vaneworks.coordination.NodeLimits;
-import org.vaneworks.coordination.NodeOutside;
 import org.vaneworks.coordination.NodeSettings;
 import org.vaneworks.coordination.StopTimes;
 import org.vaneworks.coordination.boxes.Box;
@@ -185,8 +185,8 @@
     Counters own = Counters.in(new SimpleMeterRegistry());
     FreezableExecutor process = new FreezableExecutor(executor);
     processes.put(name, process);
-    NodeOutside outside =
-        new NodeOutside(
+    NodeDependencies outside =
+        new NodeDependencies(
             process,
             new Random(seed + address.port() + 1000L * ++runs),
             store,
@@ -299,7 +299,7 @@
     Runnable unused =
         nodes
             .get(node)
-            .gate()
+            .dispatcher()
             .complete(
                 WORKSPACE, new CompletionBody(prompt, OptionalInt.of(tokens)), options, answer);
     return answer;
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/PolicyBench.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/PolicyBench.java
@@ -184,7 +184,7 @@
             Optional.empty());
     long due = clock.currentTime(TimeUnit.NANOSECONDS);
     Runnable unused =
-        node.gate()
+        node.dispatcher()
             .complete(
                 "w" + arrival.workspace(),
                 new CompletionBody(arrival.prompt(), OptionalInt.of(arrival.tokens())),
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/RecoveryBench.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/RecoveryBench.java
@@ -155,7 +155,7 @@
     Runnable unused =
         fleet
             .node("n1")
-            .gate()
+            .dispatcher()
             .complete(
                 InMemoryFleet.WORKSPACE,
                 new CompletionBody(prompt, OptionalInt.of(TOKENS)),
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/OnceSchedule.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/OnceSchedule.java
@@ -19,23 +19,23 @@
 import org.vaneworks.testlib.ServiceCore;
 
 /**
- * One random schedule of confirmations under tickets and keys, each repeated at several nodes,
- * while nodes die, freeze, stop as planned and are replaced, links are cut one way, replies are
- * lost and the store fails. All from one seed.
+ * A random schedule, generated from a seed, of service calls with tickets and idempotency keys,
+ * each repeated on several nodes, and of faults: nodes crash, freeze, stop gracefully and are
+ * replaced, links are cut in one direction, replies are lost and the store fails.
  */
 final class OnceSchedule {
   private static final int NODES = 5;
-  private static final int SPAN_MILLIS = 30_000;
-  private static final Duration PATIENCE = Duration.ofMinutes(10);
-  private static final Duration AFTERWARDS = Duration.ofMinutes(1);
+  private static final int SCHEDULE_MILLIS = 30_000;
+  private static final Duration TIMEOUT = Duration.ofMinutes(10);
+  private static final Duration SETTLE_TIME = Duration.ofMinutes(1);
 
-  private record Repeat(Node node, CompletableFuture<ServiceReply> reply) {}
+  private record Call(Node node, CompletableFuture<ServiceReply> reply) {}
 
   private final Random random;
   private final InMemoryFleet fleet;
   private final ServiceCore records;
   private final List<CallerOptions> options = new ArrayList<>();
-  private final List<Repeat> repeats = new ArrayList<>();
+  private final List<Call> calls = new ArrayList<>();
   private final List<String> problems = new ArrayList<>();
   private int faults;
 
@@ -54,40 +54,41 @@
       fleet.addNode("n" + i);
     }
     fleet.settle();
-    takeTicketsAndKeys();
+    createOptions();
     planCalls();
     planFaults();
-    fleet.clock().advance(Duration.ofMillis(SPAN_MILLIS));
+    fleet.clock().advance(Duration.ofMillis(SCHEDULE_MILLIS));
     boolean ended =
-        fleet.clock().advanceUntil(() -> repeats.stream().allMatch(this::isEnded), PATIENCE);
-    fleet.clock().advance(AFTERWARDS);
+        fleet.clock().advanceUntil(() -> calls.stream().allMatch(this::isEnded), TIMEOUT);
+    fleet.clock().advance(SETTLE_TIME);
     if (!ended) {
       problems.add("some calls never ended");
     }
-    judge();
+    checkRunCounts();
     int answered =
-        (int) repeats.stream().filter(repeat -> !repeat.reply().isCompletedExceptionally()).count();
+        (int) calls.stream().filter(call -> !call.reply().isCompletedExceptionally()).count();
     return new Schedules.Result(
         ImmutableList.copyOf(problems),
-        Map.of("calls", repeats.size(), "answered", answered, "faults", faults));
+        Map.of("calls", calls.size(), "answered", answered, "faults", faults));
   }
 
-  /** A caller whose node died lost its connection; it waits no more. */
-  private boolean isEnded(Repeat repeat) {
-    return repeat.reply().isDone() || !fleet.nodes().contains(repeat.node());
+  /** Returns whether the call has ended; a crash of its node also ends it for the caller. */
+  private boolean isEnded(Call call) {
+    return call.reply().isDone() || !fleet.nodes().contains(call.node());
   }
 
-  private void takeTicketsAndKeys() {
+  private void createOptions() {
     int requests = 4 + random.nextInt(6);
     for (int i = 0; i < requests; i++) {
       boolean ticket = random.nextBoolean();
-      Optional<String> taken =
+      Optional<String> ticketToken =
           ticket
-              ? Optional.of(anyNode().orElseThrow().gate().tickets(1).join().get(0))
+              ? Optional.of(anyNode().orElseThrow().dispatcher().tickets(1).join().get(0))
               : Optional.empty();
       Optional<String> key = ticket ? Optional.empty() : Optional.of("key" + i);
       options.add(
-          new CallerOptions(Optional.of(false), key, taken, Optional.empty(), Optional.empty()));
+          new CallerOptions(
+              Optional.of(false), key, ticketToken, Optional.empty(), Optional.empty()));
     }
   }
 
@@ -102,11 +103,11 @@
     for (int i = 0; i < options.size(); i++) {
       int request = i;
       int times = 1 + random.nextInt(5);
-      int around = random.nextInt(SPAN_MILLIS);
+      int around = random.nextInt(SCHEDULE_MILLIS);
       for (int j = 0; j < times; j++) {
         boolean close = random.nextBoolean();
-        int at = close ? around + random.nextInt(30) : random.nextInt(SPAN_MILLIS);
-        later(at, () -> anyNode().ifPresent(node -> call(node, request)));
+        int at = close ? around + random.nextInt(30) : random.nextInt(SCHEDULE_MILLIS);
+        scheduleAfter(at, () -> anyNode().ifPresent(node -> call(node, request)));
       }
     }
   }
@@ -114,13 +115,13 @@
   private void call(Node node, int request) {
     ServiceCall call = new ServiceCall("POST", "/confirm", "swap " + request, "");
     CompletableFuture<ServiceReply> reply =
-        node.gate().call(InMemoryFleet.WORKSPACE, "records", call, options.get(request));
-    repeats.add(new Repeat(node, reply));
-    var unused = reply.whenComplete((answer, failure) -> check(request, answer, failure));
+        node.dispatcher().call(InMemoryFleet.WORKSPACE, "records", call, options.get(request));
+    calls.add(new Call(node, reply));
+    var unused = reply.whenComplete((answer, failure) -> checkAnswer(request, answer, failure));
   }
 
-  /** Judges an answer at the moment that the caller gets it. */
-  private void check(int request, ServiceReply answer, Throwable failure) {
+  /** Checks an answer at the time when the caller receives it. */
+  private void checkAnswer(int request, ServiceReply answer, Throwable failure) {
     int ran = runsOf(request);
     if (answer != null && ran != 1) {
       problems.add("request " + request + " was answered but ran " + ran + " times");
@@ -144,15 +145,16 @@
       int kind = random.nextInt(10);
       int length = 100 + random.nextInt(15_000);
       int count = 1 + random.nextInt(3);
-      later(random.nextInt(SPAN_MILLIS), () -> bringAbout(kind, name, other, length, count));
+      scheduleAfter(
+          random.nextInt(SCHEDULE_MILLIS), () -> inject(kind, name, other, length, count));
     }
   }
 
-  private void bringAbout(int kind, String name, String other, int length, int count) {
-    boolean present = fleet.nodes().contains(fleet.node(name));
+  private void inject(int kind, String name, String other, int length, int count) {
+    boolean running = fleet.nodes().contains(fleet.node(name));
     HostPort address = fleet.addressOf(name);
     HostPort service = fleet.addressOf("records-box");
-    if (kind <= 3 && !present) {
+    if (kind <= 3 && !running) {
       fleet.addNode(name);
       return;
     }
@@ -160,7 +162,7 @@
       case 0 -> fleet.killNode(name);
       case 1 -> {
         fleet.freezeNode(name);
-        later(length, () -> fleet.thawNode(name));
+        scheduleAfter(length, () -> fleet.thawNode(name));
       }
       case 2 -> {
         var unused = fleet.stopNode(name);
@@ -171,30 +173,30 @@
       }
       case 4 -> {
         fleet.peers().cut(address, fleet.addressOf(other));
-        later(length, () -> fleet.peers().mend());
+        scheduleAfter(length, () -> fleet.peers().mend());
       }
       case 5 -> fleet.peers().loseReplies(address, count);
       case 6 -> {
         fleet.store().down(true);
-        later(length, () -> fleet.store().down(false));
+        scheduleAfter(length, () -> fleet.store().down(false));
       }
       case 7 -> fleet.store().loseAnswers(count);
       case 8 -> {
         fleet.store().slow(Duration.ofMillis(length / 10));
-        later(length, () -> fleet.store().slow(Duration.ZERO));
+        scheduleAfter(length, () -> fleet.store().slow(Duration.ZERO));
       }
       default -> {
         fleet.endpoints().freeze(service);
-        later(length / 2, () -> fleet.endpoints().thaw(service));
+        scheduleAfter(length / 2, () -> fleet.endpoints().thaw(service));
       }
     }
   }
 
-  private void later(int millis, Runnable task) {
+  private void scheduleAfter(int millis, Runnable task) {
     fleet.clock().schedule(task, Duration.ofMillis(millis));
   }
 
-  private void judge() {
+  private void checkRunCounts() {
     for (int request = 0; request < options.size(); request++) {
       if (runsOf(request) > 1) {
         problems.add("request " + request + " ran " + runsOf(request) + " times");
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/RunningStreamTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/RunningStreamTest.java
@@ -22,169 +22,179 @@
 import org.vaneworks.testlib.LedgerEntry;
 import org.vaneworks.testlib.RecordedAnswer;
 
-/** Checks that a stream does not leave a silent engine before another can take its layers. */
+/** Tests that a stream stays on an unresponsive engine until another can take over its layers. */
 final class RunningStreamTest {
   private static final int LAYERS = 12;
-  private static final int CUT = 6;
+  private static final int SPLIT_LAYER = 6;
   private static final long SEED = 20261203;
   private static final double STEP_MILLIS = 5;
   private static final int LEARNING_STREAMS = 8;
   private static final int LEARNING_TOKENS = 60;
   private static final int TOKENS = 600;
-  private static final int TOKENS_BEFORE_SILENCE = 20;
-  private static final Duration PATIENCE = Duration.ofMinutes(5);
-  private static final Duration SILENCE = Duration.ofMillis(700);
-  private static final Duration SHORT_SILENCE = Duration.ofMillis(300);
-  private static final Duration BUSY = Duration.ofSeconds(3);
-  private static final Duration SLACK = Duration.ofMillis(200);
-  private static final Duration AFTERWARDS = Duration.ofSeconds(10);
+  private static final int TOKENS_BEFORE_FREEZE = 20;
+  private static final Duration TIMEOUT = Duration.ofMinutes(5);
+  private static final Duration UNRESPONSIVE_TIME = Duration.ofMillis(700);
+  private static final Duration SHORT_UNRESPONSIVE_TIME = Duration.ofMillis(300);
+  private static final Duration OBSERVATION_TIME = Duration.ofSeconds(3);
+  private static final Duration MARGIN = Duration.ofMillis(200);
+  private static final Duration SETTLE_TIME = Duration.ofSeconds(10);
 
   private final InMemoryFleet fleet = InMemoryFleet.create(LAYERS, SEED);
-  private final EngineCore first = addEngine("a1", 0, CUT);
+  private final EngineCore first = addEngine("a1", 0, SPLIT_LAYER);
   private RecordedAnswer answer;
 
-  // Guards against a stream that failed while its engine lived: no other engine had its layers.
+  // Guards against a stream that fails although its engine is alive: the engine did not answer for
+  // a while, and no other engine has its layers.
   @Test
-  void streamOfASilentEngineGoesOnWhileNoOtherHoldsItsLayers() {
-    beginStream(NodeLimits.defaults());
+  void streamContinuesOnUnresponsiveEngineWhileNoOtherHasItsLayers() {
+    startStream(NodeLimits.defaults());
     freezeAll();
-    fleet.clock().advance(SILENCE);
+    fleet.clock().advance(UNRESPONSIVE_TIME);
     thawAll();
-    assertDeliveredWhole();
+    assertDeliveredCompletely();
     assertNothingRebuilt();
   }
 
-  // Guards against a stream that failed while its engine lived: its replacements were used.
+  // Guards against a stream that fails although its engine is alive: the engine did not answer for
+  // a while, and the stream had no replacements left.
   @Test
-  void streamOfASilentEngineGoesOnOnceItsReplacementsAreUsed() {
-    addEngine("a2", 0, CUT);
-    addEngine("b2", CUT, LAYERS);
-    beginStream(withStreams(0, PipelineLimits.defaults().recoveryPatience()));
+  void streamContinuesOnUnresponsiveEngineWithNoReplacementsLeft() {
+    addEngine("a2", 0, SPLIT_LAYER);
+    addEngine("b2", SPLIT_LAYER, LAYERS);
+    startStream(withStreams(0, PipelineLimits.defaults().recoveryTimeout()));
     freezeAll();
-    fleet.clock().advance(SILENCE);
+    fleet.clock().advance(UNRESPONSIVE_TIME);
     thawAll();
-    assertDeliveredWhole();
+    assertDeliveredCompletely();
     assertNothingRebuilt();
   }
 
-  // Guards against new work turned away from an engine that nothing can stand in for.
+  // Guards against refusing new work because the only engine with the layers was ejected.
   @Test
-  void silentEngineIsNotEjectedWhileNoOtherHoldsItsLayers() {
-    beginStream(NodeLimits.defaults());
+  void unresponsiveEngineIsNotEjectedWhileNoOtherHasItsLayers() {
+    startStream(NodeLimits.defaults());
     freezeAll();
-    fleet.clock().advance(SILENCE);
+    fleet.clock().advance(UNRESPONSIVE_TIME);
     assertEquals(0, fleet.counters("n1").value(Metric.EJECTIONS, "lost"));
     thawAll();
-    assertDeliveredWhole();
+    assertDeliveredCompletely();
   }
 
-  // Guards against a stream that remains at a silent engine although another can take its layers.
+  // Guards against a stream that stays on an unresponsive engine although another engine with its
+  // layers has been added.
   @Test
-  void streamOfASilentEngineMovesOnceAnotherHoldsItsLayers() {
-    beginStream(NodeLimits.defaults());
+  void streamLeavesUnresponsiveEngineOnceAnotherHasItsLayers() {
+    startStream(NodeLimits.defaults());
     int runBefore = first.ledger().size();
     freeze("a1");
-    EngineCore other = addEngine("a2", 0, CUT);
+    EngineCore other = addEngine("a2", 0, SPLIT_LAYER);
     await(() -> !other.ledger().isEmpty());
     thaw("a1");
-    assertDeliveredWhole();
-    // The step that had arrived there may have run; its answer is not used, nor its session again.
+    assertDeliveredCompletely();
+    // The step that was in flight may have run, but its answer and its session are no longer used.
     assertTrue(first.ledger().size() <= runBefore + 1, first.ledger()::toString);
     assertEquals(0, first.sessions());
   }
 
-  // Guards against a stream that leaves a silent engine for one that is silent too.
+  // Guards against moving a stream from an unresponsive engine to a suspected one.
   @Test
-  void streamOfASilentEngineDoesNotMoveToOneInDoubt() {
-    EngineCore other = addEngine("a2", 0, CUT);
-    beginStream(NodeLimits.defaults());
+  void streamDoesNotMoveFromUnresponsiveToSuspectedEngine() {
+    EngineCore other = addEngine("a2", 0, SPLIT_LAYER);
+    startStream(NodeLimits.defaults());
     boolean isOnFirst = stateOf(first).inFlight() > 0;
-    EngineCore present = isOnFirst ? first : other;
-    EngineCore doubted = isOnFirst ? other : first;
-    fleet.node("n1").endpoints().doubt(stateOf(doubted));
-    int runBefore = doubted.ledger().size();
-    freeze(boxOf(present));
-    fleet.clock().advance(SHORT_SILENCE);
-    thaw(boxOf(present));
-    assertDeliveredWhole();
-    assertEquals(runBefore, doubted.ledger().size());
-  }
-
-  // Guards against a stream that leaves an engine after its silence: it answers others again.
+    EngineCore current = isOnFirst ? first : other;
+    EngineCore suspected = isOnFirst ? other : first;
+    fleet.node("n1").endpoints().doubt(stateOf(suspected));
+    int runBefore = suspected.ledger().size();
+    freeze(boxOf(current));
+    fleet.clock().advance(SHORT_UNRESPONSIVE_TIME);
+    thaw(boxOf(current));
+    assertDeliveredCompletely();
+    assertEquals(runBefore, suspected.ledger().size());
+  }
+
+  // Guards against a stream that leaves an engine that was unresponsive for a while but answers
+  // other streams again.
   @Test
-  void streamStaysAtAnEngineThatAnswersOthersAfterItsSilence() {
-    beginStream(NodeLimits.defaults());
-    RecordedAnswer others = fleet.ask("n1", "others' prompt", TOKENS, CallerOptions.NONE);
-    await(() -> !others.tokens().isEmpty());
+  void streamStaysOnEngineThatAnswersOtherStreamsAgain() {
+    startStream(NodeLimits.defaults());
+    RecordedAnswer otherAnswer = fleet.ask("n1", "others' prompt", TOKENS, CallerOptions.NONE);
+    await(() -> !otherAnswer.tokens().isEmpty());
     freezeAll();
-    fleet.clock().advance(SILENCE);
+    fleet.clock().advance(UNRESPONSIVE_TIME);
     fleet.endpoints().loseAnswers(fleet.addressOf("b1"), 1);
     thawAll();
-    fleet.clock().advance(SLACK);
-    EngineCore other = addEngine("b2", CUT, LAYERS);
-    fleet.clock().advance(BUSY);
+    fleet.clock().advance(MARGIN);
+    EngineCore other = addEngine("b2", SPLIT_LAYER, LAYERS);
+    fleet.clock().advance(OBSERVATION_TIME);
     assertTrue(other.ledger().isEmpty(), other.ledger()::toString);
-    assertDeliveredWhole();
+    assertDeliveredCompletely();
   }
 
-  // Guards against a dead engine's stream that stays: a broken connection proves its end.
+  // Guards against a stream that stays on a dead engine although its connection broke.
   @Test
-  void streamLeavesASilentEngineOnceItsConnectionBreaks() {
-    beginStream(NodeLimits.defaults());
+  void streamLeavesUnresponsiveEngineOnceItsConnectionBreaks() {
+    startStream(NodeLimits.defaults());
     freeze("b1");
-    fleet.clock().advance(SILENCE);
+    fleet.clock().advance(UNRESPONSIVE_TIME);
     fleet.endpoints().kill(fleet.addressOf("b1"));
-    EngineCore other = addEngine("b2", CUT, LAYERS);
-    assertDeliveredWhole();
+    EngineCore other = addEngine("b2", SPLIT_LAYER, LAYERS);
+    assertDeliveredCompletely();
     assertFalse(other.ledger().isEmpty());
   }
 
-  // Guards against a stream cut by its engine's leave: no other had its layers when it was told.
+  // Guards against a stream that is cut when its engine leaves: no other engine had its layers when
+  // the engine announced that it was leaving, and one was added later.
   @Test
-  void streamOfALeavingEngineMovesOnceAnotherHoldsItsLayers() {
-    beginStream(NodeLimits.defaults());
+  void streamLeavesLeavingEngineOnceAnotherHasItsLayers() {
+    startStream(NodeLimits.defaults());
     fleet.boxes().leaving("a1");
-    fleet.clock().advance(SILENCE);
-    EngineCore other = addEngine("a2", 0, CUT);
+    fleet.clock().advance(UNRESPONSIVE_TIME);
+    EngineCore other = addEngine("a2", 0, SPLIT_LAYER);
     await(() -> !other.ledger().isEmpty() || answer.isEnded());
-    assertFalse(answer.isEnded(), "it stayed to its end");
+    assertFalse(answer.isEnded(), "the stream ended on the leaving engine");
     int runBefore = first.ledger().size();
-    assertDeliveredWhole();
+    assertDeliveredCompletely();
     assertEquals(runBefore, first.ledger().size());
     assertNothingRebuilt();
   }
 
-  // Guards against a stream that waits in vain for its only engine, as its lost call counts there.
+  // Guards against a stream that can't return to its only engine after a lost call, because the
+  // lost call still counts as in flight there.
   @Test
-  void streamReturnsToItsOnlyEngineAfterALostCall() {
-    beginStream(NodeLimits.defaults());
+  void streamReturnsToItsOnlyEngineAfterLostCall() {
+    startStream(NodeLimits.defaults());
     fleet.endpoints().loseAnswers(fleet.addressOf("b1"), 1);
-    assertDeliveredWhole();
+    assertDeliveredCompletely();
   }
 
-  // Guards against a stream that hangs for good, or ends early: its engine's call never ends.
+  // Guards against a stream that hangs forever, or ends too early, when a call to its engine never
+  // ends.
   @Test
-  void callThatNeverEndsIsGivenUpAfterTheStepTimeoutAndThePatience() {
-    beginStream(withStreams(1, Duration.ZERO));
+  void callThatNeverEndsIsAbandonedAfterStepAndRecoveryTimeouts() {
+    startStream(withStreams(1, Duration.ZERO));
     freezeAll();
     Duration timeout = NodeLimits.defaults().endpoints().stepTimeout();
-    fleet.clock().advance(timeout.minus(SLACK));
+    fleet.clock().advance(timeout.minus(MARGIN));
     assertFalse(answer.isEnded());
-    fleet.clock().advance(SLACK.multipliedBy(2));
+    fleet.clock().advance(MARGIN.multipliedBy(2));
     assertEquals(Reason.NO_ENDPOINT, answer.refusal().orElseThrow().reason());
   }
 
-  private static NodeLimits withStreams(int maxReplacements, Duration patience) {
-    PipelineLimits usual = PipelineLimits.defaults();
+  private static NodeLimits withStreams(int maxReplacements, Duration recoveryTimeout) {
+    PipelineLimits defaults = PipelineLimits.defaults();
     return NodeLimits.defaults()
         .withStreams(
             new PipelineLimits(
-                maxReplacements, patience, usual.moveOver(), usual.replayCharacters()));
+                maxReplacements,
+                recoveryTimeout,
+                defaults.migrationThreshold(),
+                defaults.replayCharacters()));
   }
 
-  /** Begins a stream once the engines' step times are known. */
-  private void beginStream(NodeLimits limits) {
-    addEngine("b1", CUT, LAYERS);
+  /** Starts a stream after the node has learned the step times of the engines. */
+  private void startStream(NodeLimits limits) {
+    addEngine("b1", SPLIT_LAYER, LAYERS);
     var unused = fleet.addNode("n1", limits);
     fleet.settle();
     List<RecordedAnswer> learning = new ArrayList<>();
@@ -193,7 +203,7 @@
     }
     await(() -> learning.stream().allMatch(RecordedAnswer::isWhole));
     answer = fleet.ask("n1", "prompt", TOKENS, CallerOptions.NONE);
-    await(() -> answer.tokens().size() >= TOKENS_BEFORE_SILENCE);
+    await(() -> answer.tokens().size() >= TOKENS_BEFORE_FREEZE);
   }
 
   @CanIgnoreReturnValue
@@ -226,13 +236,13 @@
   }
 
   private void await(BooleanSupplier condition) {
-    assertTrue(fleet.clock().advanceUntil(condition, PATIENCE), "waited in vain");
+    assertTrue(fleet.clock().advanceUntil(condition, TIMEOUT), "the condition was not met in time");
   }
 
-  private void assertDeliveredWhole() {
+  private void assertDeliveredCompletely() {
     await(answer::isEnded);
     assertTrue(answer.isWhole(), () -> "ended early: " + answer.refusal());
-    fleet.clock().advance(AFTERWARDS);
+    fleet.clock().advance(SETTLE_TIME);
     assertEquals(ImmutableList.of(), fleet.judge().problemsOf(answer, TOKENS, true));
     for (EndpointState engine : fleet.node("n1").endpoints().all()) {
       assertEquals(0, engine.inFlight(), engine.endpoint().id()::toString);
@@ -241,6 +251,6 @@
 
   private void assertNothingRebuilt() {
     ImmutableList<LedgerEntry> runs = fleet.judge().runsOf(answer.prompt());
-    assertTrue(runs.stream().noneMatch(LedgerEntry::rebuilt), "something was rebuilt");
+    assertTrue(runs.stream().noneMatch(LedgerEntry::rebuilt), "a session was rebuilt");
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/DoubtedEngineStreamTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/SuspectedEngineStreamTest.java
@@ -16,67 +16,67 @@
 import org.vaneworks.testlib.InMemoryFleet;
 import org.vaneworks.testlib.RecordedAnswer;
 
-/** Checks which engines get streams while a late status speaks against some. */
-final class DoubtedEngineStreamTest {
+/** Tests which engines are given streams after status requests to some of them timed out. */
+final class SuspectedEngineStreamTest {
   private static final int LAYERS = 12;
   private static final long SEED = 20261204;
   private static final double STEP_MILLIS = 5;
   private static final int TOKENS = 5;
-  private static final Duration PATIENCE = Duration.ofMinutes(1);
+  private static final Duration TIMEOUT = Duration.ofMinutes(1);
 
   private final InMemoryFleet fleet = InMemoryFleet.create(LAYERS, SEED);
-  private final EngineCore only = fleet.addEngine("a1", 0, LAYERS, STEP_MILLIS);
+  private final EngineCore suspected = fleet.addEngine("a1", 0, LAYERS, STEP_MILLIS);
 
   @BeforeEach
   void startNode() {
     var unused = fleet.addNode("n1");
   }
 
-  // Guards against all work turned away: one late status took the only engine out of use.
+  // Guards against refusing all requests: one late status took the only engine out of use.
   @Test
-  void onlyEngineStaysInUseAfterOneLateStatus() {
+  void onlyEngineRemainsInUseAfterOneLateStatus() {
     fleet.settle();
-    table().doubt(stateOf(only));
-    assertDeliveredWhole(ask());
+    table().doubt(stateOf(suspected));
+    assertDeliveredCompletely(ask());
   }
 
-  // Guards against work sent to an engine in doubt while another is in no doubt.
+  // Guards against sending work to a suspected engine while another engine is not suspected.
   @Test
-  void anotherEngineIsPreferredAfterOneLateStatus() {
+  void otherEngineIsPreferredAfterOneLateStatus() {
     EngineCore other = fleet.addEngine("a2", 0, LAYERS, STEP_MILLIS);
     fleet.settle();
-    table().doubt(stateOf(only));
-    assertDeliveredWhole(ask());
-    assertTrue(only.ledger().isEmpty());
+    table().doubt(stateOf(suspected));
+    assertDeliveredCompletely(ask());
+    assertTrue(suspected.ledger().isEmpty());
     assertEquals(TOKENS, other.ledger().size());
   }
 
-  // Guards against a path through an engine in doubt while a longer one passes none.
+  // Guards against a route over a suspected engine while a longer route avoids it.
   @Test
-  void longerPathIsPreferredAfterOneLateStatus() {
+  void longerRouteIsPreferredAfterOneLateStatus() {
     EngineCore lower = fleet.addEngine("a2", 0, LAYERS / 2, 10 * STEP_MILLIS);
     EngineCore upper = fleet.addEngine("a3", LAYERS / 2, LAYERS, 10 * STEP_MILLIS);
     fleet.settle();
-    table().doubt(stateOf(only));
-    assertDeliveredWhole(ask());
-    assertTrue(only.ledger().isEmpty());
+    table().doubt(stateOf(suspected));
+    assertDeliveredCompletely(ask());
+    assertTrue(suspected.ledger().isEmpty());
     assertEquals(2 * TOKENS, lower.ledger().size() + upper.ledger().size());
   }
 
-  // Guards against work sent to an engine that two questions in a row found silent.
+  // Guards against sending work to an engine that missed two status requests in a row.
   @Test
-  void onlyEngineIsRefusedAfterTwoLateStatusesInARow() {
+  void requestIsRefusedAfterTwoLateStatusesOfTheOnlyEngine() {
     fleet.settle();
-    table().doubt(stateOf(only));
-    table().doubt(stateOf(only));
+    table().doubt(stateOf(suspected));
+    table().doubt(stateOf(suspected));
     assertRefusedAsNotRun(ask());
   }
 
-  // Guards against work sent to an engine that has just lost some.
+  // Guards against sending work to an engine that has just lost a call.
   @Test
-  void onlyEngineIsRefusedAfterALostCall() {
+  void requestIsRefusedAfterTheOnlyEngineLostACall() {
     fleet.settle();
-    table().eject(stateOf(only), "lost");
+    table().eject(stateOf(suspected), "lost");
     assertRefusedAsNotRun(ask());
   }
 
@@ -92,8 +92,9 @@
     return fleet.ask("n1", "prompt", TOKENS, CallerOptions.NONE);
   }
 
-  private void assertDeliveredWhole(RecordedAnswer answer) {
-    assertTrue(fleet.clock().advanceUntil(answer::isEnded, PATIENCE), "waited in vain");
+  private void assertDeliveredCompletely(RecordedAnswer answer) {
+    assertTrue(
+        fleet.clock().advanceUntil(answer::isEnded, TIMEOUT), "the answer did not end in time");
     assertTrue(answer.isWhole(), () -> "refused: " + answer.refusal());
     assertEquals(ImmutableList.of(), fleet.judge().problemsOf(answer, TOKENS, true));
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/package-info.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of a completion's way through the engines under a paused clock. */
+/** Tests of running completions over engines, under a paused clock. */
 package org.vaneworks.tests.pipeline;
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/NodeSteps.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/NodeSteps.java
@@ -18,14 +18,14 @@
 import org.vaneworks.coordination.configuration.ConflictException;
 import org.vaneworks.state.ConfigurationHead;
 
-/** Steps on nodes, the platform's store and the configuration. */
+/** Step definitions for nodes, the platform's store and the configuration. */
 public final class NodeSteps {
   private final World world;
   private final Map<String, CompletableFuture<Integer>> stops = new LinkedHashMap<>();
   private final Map<String, CompletableFuture<ConfigurationHead>> changes = new LinkedHashMap<>();
   private final Map<String, List<Long>> versions = new LinkedHashMap<>();
 
-  /** Takes the scenario's world. */
+  /** Creates the step definitions of a scenario. */
   public NodeSteps(World world) {
     this.world = world;
   }
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Adds a node, or another run of one. */
+  /** Starts a node, or restarts one as a new run. */
   @When("{word} starts")
   public void addNode(String name) {
     Node node = world.fleet().addNode(name);
@@ -65,68 +65,68 @@
     world.fleet().thawNode(name);
   }
 
-  /** Begins a planned stop. */
+  /** Starts a graceful stop of a node. */
   @When("{word} begins a planned stop")
   public void stop(String name) {
     stops.put(name, world.fleet().stopNode(name));
   }
 
-  /** Waits for the end of a planned stop. */
+  /** Waits for the end of a graceful stop and checks how many requests it aborted. */
   @Then("{word} stops with {int} requests cut")
-  public void stopped(String name, int cut) {
+  public void stopped(String name, int cutRequests) {
     world.await(name + " to stop", stops.get(name)::isDone);
-    assertEquals(cut, stops.get(name).join());
+    assertEquals(cutRequests, stops.get(name).join());
   }
 
-  /** Cuts the way from one node to another. */
+  /** Cuts the connection from one node to another, in this direction only. */
   @When("the way from {word} to {word} is cut")
-  public void cut(String from, String to) {
+  public void cutConnection(String from, String to) {
     world.fleet().peers().cut(world.fleet().addressOf(from), world.fleet().addressOf(to));
   }
 
-  /** Loses replies of a node. */
+  /** Drops the next replies of a node to its peers. */
   @When("the next {int} replies of node {word} are lost")
   public void loseReplies(int count, String name) {
     world.fleet().peers().loseReplies(world.fleet().addressOf(name), count);
   }
 
-  /** Takes the store down. */
+  /** Makes the store unavailable. */
   @When("the store goes down")
-  public void storeDown() {
+  public void stopStore() {
     world.fleet().store().down(true);
   }
 
-  /** Brings the store back. */
+  /** Makes the store available again. */
   @When("the store is back")
-  public void storeUp() {
+  public void restoreStore() {
     world.fleet().store().down(false);
   }
 
-  /** Makes the store slow. */
+  /** Delays the answers of the store. */
   @When("the store answers {int} ms late")
-  public void storeSlow(int millis) {
+  public void slowStore(int millis) {
     world.fleet().store().slow(Duration.ofMillis(millis));
   }
 
-  /** Loses answers of the store. */
+  /** Drops the store's answers to the next writes, which take effect. */
   @When("the store writes the next {int} times without answering")
   public void loseAnswers(int count) {
     world.fleet().store().loseAnswers(count);
   }
 
-  /** Loses answers of the store to writes of the head. */
+  /** Drops the store's answers to the next writes of the head, which take effect. */
   @When("the store writes the head the next {int} times without answering")
   public void loseHeadAnswers(int count) {
     world.fleet().store().loseAnswers(count, "/head");
   }
 
-  /** Makes a change. */
+  /** Starts a change of the template. */
   @When("operator {word} sets {int} tokens")
   public void change(String operator, int maxTokens) {
     changes.put(operator, world.fleet().apply(world.fleet().configuration(maxTokens)));
   }
 
-  /** Makes a change that touches another resource. */
+  /** Starts a change that adds a workspace and leaves the template unchanged. */
   @When("operator {word} adds workspace {word}")
   public void addWorkspace(String operator, String workspace) {
     String yaml = "{kind: workspace, name: " + workspace + ", template: t}";
@@ -152,38 +152,41 @@
         won++;
         continue;
       }
-      Throwable why = change.handle((head, failure) -> Async.causeOf(failure)).join();
-      assertTrue(why instanceof ConflictException, () -> "not a conflict: " + why);
-      assertTrue(why.getMessage().contains(resource), why.getMessage());
+      Throwable cause = change.handle((head, failure) -> Async.causeOf(failure)).join();
+      assertTrue(cause instanceof ConflictException, () -> "not a conflict: " + cause);
+      assertTrue(cause.getMessage().contains(resource), cause.getMessage());
     }
     assertEquals(1, won);
   }
 
-  /** Checks that a version is in force everywhere after a time. */
+  /** Checks that every node has activated a version within the given time. */
   @Then("version {int} is in force on every node within {int} ms")
   public void inForce(int version, int millis) {
-    world.fleet().clock().advanceUntil(() -> slowest() >= version, Duration.ofMillis(millis));
+    world
+        .fleet()
+        .clock()
+        .advanceUntil(() -> oldestActiveVersion() >= version, Duration.ofMillis(millis));
     for (Node node : world.fleet().nodes()) {
       assertEquals(version, node.configuration().version(), node.settings().name());
     }
   }
 
-  private long slowest() {
+  private long oldestActiveVersion() {
     return world.fleet().nodes().stream()
         .mapToLong(node -> node.configuration().version())
         .min()
         .orElse(0);
   }
 
-  /** Checks the order in which versions came in force. */
+  /** Checks that every node activated versions in increasing order. */
   @Then("no node ever went back to an older version")
-  public void neverBack() {
+  public void versionsIncrease() {
     versions.forEach(
         (node, seen) ->
             assertTrue(Ordering.natural().isStrictlyOrdered(seen), () -> node + " saw " + seen));
   }
 
-  /** Checks that a node takes requests. */
+  /** Checks that a node accepts requests. */
   @Then("{word} is ready")
   public void ready(String name) {
     assertEquals("READY", world.fleet().node(name).phase().name());
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/StreamSteps.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/StreamSteps.java
@@ -20,11 +20,11 @@
 import org.vaneworks.testlib.LedgerEntry;
 import org.vaneworks.testlib.RecordedAnswer;
 
-/** Steps on engines and streams. */
+/** Step definitions for engines and streams. */
 public final class StreamSteps {
   private final World world;
 
-  /** Takes the scenario's world. */
+  /** Creates the step definitions of a scenario. */
   public StreamSteps(World world) {
     this.world = world;
   }
@@ -41,17 +41,20 @@
     var unused = world.fleet().addNode(name);
   }
 
-  /** Adds a node that keeps little to rebuild streams with. */
+  /** Adds a node that stores few step inputs for rebuilding streams. */
   @Given("node {word} keeps {int} characters to rebuild a stream")
-  public void forgetfulNode(String name, int characters) {
-    PipelineLimits usual = PipelineLimits.defaults();
+  public void nodeWithReplayLimit(String name, int characters) {
+    PipelineLimits defaults = PipelineLimits.defaults();
     PipelineLimits small =
         new PipelineLimits(
-            usual.maxReplacements(), usual.recoveryPatience(), usual.moveOver(), characters);
+            defaults.maxReplacements(),
+            defaults.recoveryTimeout(),
+            defaults.migrationThreshold(),
+            characters);
     var unused = world.fleet().addNode(name, NodeLimits.defaults().withStreams(small));
   }
 
-  /** Puts the usual configuration in force. */
+  /** Activates the default configuration on all nodes. */
   @Given("the fleet has settled")
   public void settled() {
     world.fleet().settle();
@@ -59,32 +62,32 @@
 
   /** Starts a repeatable request. */
   @When("{word} asks {word} for {int} tokens")
-  public void asks(String caller, String node, int tokens) {
+  public void ask(String caller, String node, int tokens) {
     world.ask(caller, node, tokens, CallerOptions.NONE);
   }
 
   /** Starts a request that is not repeatable. */
   @When("{word} asks {word} for {int} tokens, not repeatable")
-  public void asksOnce(String caller, String node, int tokens) {
-    CallerOptions once =
+  public void askNotRepeatable(String caller, String node, int tokens) {
+    CallerOptions notRepeatable =
         new CallerOptions(
             Optional.of(false),
             Optional.empty(),
             Optional.empty(),
             Optional.empty(),
             Optional.empty());
-    world.ask(caller, node, tokens, once);
+    world.ask(caller, node, tokens, notRepeatable);
   }
 
   /** Starts many requests at once. */
   @When("{int} callers ask {word} for {int} tokens each")
-  public void manyAsk(int count, String node, int tokens) {
+  public void askMany(int count, String node, int tokens) {
     for (int i = 0; i < count; i++) {
       world.ask("caller" + i, node, tokens, CallerOptions.NONE);
     }
   }
 
-  /** Lets a stream get to a token. */
+  /** Advances the clock until a stream has a number of tokens. */
   @When("{word} has {int} tokens")
   public void hasTokens(String caller, int tokens) {
     RecordedAnswer answer = world.answer(caller);
@@ -92,57 +95,57 @@
     assertFalse(answer.isEnded(), () -> "ended early: " + answer.refusal());
   }
 
-  /** Lets time pass. */
+  /** Advances the clock. */
   @When("{int} ms pass")
-  public void pass(int millis) {
+  public void advanceClock(int millis) {
     world.fleet().clock().advance(Duration.ofMillis(millis));
   }
 
   /** Kills an engine. */
   @When("{word} is killed")
-  public void killed(String box) {
+  public void kill(String box) {
     world.fleet().endpoints().kill(addressOf(box));
   }
 
   /** Freezes an engine. */
   @When("{word} freezes")
-  public void freezes(String box) {
+  public void freeze(String box) {
     world.fleet().endpoints().freeze(addressOf(box));
   }
 
   /** Thaws an engine. */
   @When("{word} thaws")
-  public void thaws(String box) {
+  public void thaw(String box) {
     world.fleet().endpoints().thaw(addressOf(box));
   }
 
-  /** Loses answers of an engine. */
+  /** Drops the next answers of an engine. */
   @When("the next {int} answers of {word} are lost")
-  public void lost(int count, String box) {
+  public void loseAnswers(int count, String box) {
     world.fleet().endpoints().loseAnswers(addressOf(box), count);
   }
 
-  /** Exchanges answers of an engine between streams. */
+  /** Swaps the next answers of an engine between streams. */
   @When("the next {int} answers of {word} are exchanged between streams")
-  public void exchanged(int count, String box) {
+  public void exchangeAnswers(int count, String box) {
     world.fleet().endpoints().exchangeAnswers(addressOf(box), count);
   }
 
-  /** Makes the platform list an engine as leaving. */
+  /** Marks an engine as leaving in the platform's box list. */
   @When("the box list says that {word} is leaving")
   public void leaving(String box) {
     world.fleet().boxes().leaving(box);
   }
 
-  /** Takes a box off the platform's list. */
+  /** Removes a box from the platform's box list. */
   @When("the box list no longer has {word}")
   public void unlisted(String box) {
     world.fleet().boxes().remove(box);
   }
 
-  /** Checks that connections to an endpoint are not kept. */
+  /** Checks that the connections to an endpoint were closed. */
   @Then("connections to {word} are let go of")
-  public void letGo(String box) {
+  public void connectionsClosed(String box) {
     assertTrue(world.fleet().endpoints().forgotten().contains(addressOf(box)));
   }
 
@@ -150,39 +153,42 @@
     return world.fleet().addressOf(box);
   }
 
-  /** Lets every request end and judges all of them. */
+  /** Waits until all requests have ended and checks their answers. */
   @Then("every answer is whole and right")
   public void everyAnswerIsWhole() {
     world.answers().keySet().forEach(this::answerIsWhole);
   }
 
-  /** Lets a request end and judges it. */
+  /** Waits until a request has ended and checks its answer. */
   @Then("{word}'s answer is whole and right")
   public void answerIsWhole(String caller) {
-    ends(caller);
+    awaitEnd(caller);
     RecordedAnswer answer = world.answer(caller);
     assertTrue(answer.isWhole(), () -> caller + ": " + answer.refusal());
-    keepsPromises(caller);
+    checkGuarantees(caller);
   }
 
-  /** Lets a request end and checks its verdict and that its tokens are a right beginning. */
+  /**
+   * Waits until a request has ended, and checks its refusal and that the tokens received are a
+   * prefix of the correct answer.
+   */
   @Then("{word}'s answer ends with reason {word} and verdict {word}")
   public void endsWith(String caller, String reason, String verdict) {
-    ends(caller);
+    awaitEnd(caller);
     Refusal refusal = world.answer(caller).refusal().orElseThrow();
     assertEquals(reason, refusal.reason().code(), refusal.toString());
     assertEquals(verdict, refusal.verdict().name(), refusal.toString());
-    keepsPromises(caller);
+    checkGuarantees(caller);
   }
 
-  private void ends(String caller) {
+  private void awaitEnd(String caller) {
     RecordedAnswer answer = world.answer(caller);
     world.await(caller + "'s end", answer::isEnded);
-    // What comes late must change nothing.
+    // Late answers must not change the result.
     world.fleet().clock().advance(Duration.ofSeconds(10));
   }
 
-  private void keepsPromises(String caller) {
+  private void checkGuarantees(String caller) {
     ImmutableList<String> problems =
         world
             .fleet()
@@ -191,52 +197,52 @@
     assertEquals(ImmutableList.of(), problems);
   }
 
-  /** Checks that no step of any stream was run again, not even to rebuild. */
+  /** Checks that no step of any stream was run again, not even to rebuild a session. */
   @Then("nothing ran twice")
   public void nothingRanTwice() {
     for (EngineCore engine : world.fleet().endpoints().engines()) {
-      assertTrue(engine.ledger().stream().noneMatch(LedgerEntry::rebuilt), "something was rebuilt");
+      assertTrue(engine.ledger().stream().noneMatch(LedgerEntry::rebuilt), "a session was rebuilt");
     }
   }
 
-  /** Checks that nothing of a request ran. */
+  /** Checks that no part of a request ran. */
   @Then("no engine ran any part of {word}'s request")
   public void nothingRan(String caller) {
     String prompt = world.answer(caller).prompt();
     assertEquals(ImmutableList.of(), world.fleet().judge().runsOf(prompt));
   }
 
-  /** Checks that an engine did work in vain that did not count. */
+  /** Checks that a node dropped at least a number of answers for the given reason. */
   @Then("{word} dropped at least {int} {word} answers")
-  public void dropped(String node, int count, String why) {
-    double value = world.fleet().counters(node).value(Metric.DROPPED_ANSWERS, why);
+  public void dropped(String node, int count, String reason) {
+    double value = world.fleet().counters(node).value(Metric.DROPPED_ANSWERS, reason);
     assertTrue(value >= count, () -> "dropped " + value);
   }
 
-  /** Freezes the engine on which a stream's first layers ran last. */
+  /** Freezes the engine that most recently ran the first layers of a stream. */
   @When("the engine that runs {word}'s first layers freezes")
-  public void freezesUnder(String caller) {
+  public void freezeFirstEngine(String caller) {
     ImmutableList<LedgerEntry> runs = world.fleet().judge().runsOf(world.answer(caller).prompt());
     int newest = runs.stream().mapToInt(LedgerEntry::step).max().orElseThrow();
     for (EngineCore engine : world.fleet().endpoints().engines()) {
-      boolean runsIt =
+      boolean isCurrent =
           engine.options().endpoint().layers().get().from() == 0
               && engine.ledger().stream()
                   .anyMatch(run -> run.step() >= newest - 1 && runs.contains(run));
-      if (runsIt) {
+      if (isCurrent) {
         world.fleet().endpoints().freeze(engine.options().endpoint().address());
       }
     }
   }
 
-  /** Checks how far a stream got. */
+  /** Checks that a stream has received at least a number of tokens. */
   @Then("{word} has got at least {int} tokens")
-  public void hasGot(String caller, int least) {
+  public void hasAtLeast(String caller, int least) {
     int tokens = world.answer(caller).tokens().size();
     assertTrue(tokens >= least, () -> "only " + tokens + " tokens");
   }
 
-  /** Checks on which engine the last of a stream ran. */
+  /** Checks that an engine runs no more steps. */
   @Then("{word} runs nothing more")
   public void runsNothingMore(String box) {
     EngineCore engine = engineOf(box);
@@ -254,7 +260,7 @@
     throw new AssertionError("no engine " + box);
   }
 
-  /** Checks that every engine forgot every session. */
+  /** Checks that no engine holds a session any more. */
   @Then("no live engine holds a session")
   public void noSessions() {
     world.fleet().clock().advance(Duration.ofSeconds(10));
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/World.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/World.java
@@ -8,11 +8,11 @@
 import org.vaneworks.testlib.InMemoryFleet;
 import org.vaneworks.testlib.RecordedAnswer;
 
-/** What the steps of one scenario share; Cucumber makes one for each scenario. */
+/** The state that the step definitions of one scenario share, created by Cucumber per scenario. */
 public final class World {
   static final int LAYERS = 12;
   private static final long SEED = 20261202;
-  private static final Duration PATIENCE = Duration.ofMinutes(5);
+  private static final Duration TIMEOUT = Duration.ofMinutes(5);
 
   private final InMemoryFleet fleet = InMemoryFleet.create(LAYERS, SEED);
   private final Map<String, RecordedAnswer> answers = new LinkedHashMap<>();
@@ -23,16 +23,16 @@
     return fleet;
   }
 
-  void ask(String caller, String node, int tokens, CallerOptions with) {
+  void ask(String caller, String node, int tokens, CallerOptions requestOptions) {
     lengths.put(caller, tokens);
-    options.put(caller, with);
-    answers.put(caller, fleet.ask(node, "prompt of " + caller, tokens, with));
+    options.put(caller, requestOptions);
+    answers.put(caller, fleet.ask(node, "prompt of " + caller, tokens, requestOptions));
   }
 
-  void repeat(String caller, String first, String node, int tokens, CallerOptions with) {
+  void repeat(String caller, String first, String node, int tokens, CallerOptions requestOptions) {
     lengths.put(caller, tokens);
-    options.put(caller, with);
-    answers.put(caller, fleet.ask(node, answer(first).prompt(), tokens, with));
+    options.put(caller, requestOptions);
+    answers.put(caller, fleet.ask(node, answer(first).prompt(), tokens, requestOptions));
   }
 
   RecordedAnswer answer(String caller) {
@@ -51,10 +51,10 @@
     return options.get(caller).repeatable().orElse(true);
   }
 
-  /** Lets time pass until the condition holds; fails if it never does. */
+  /** Advances the clock until the condition holds; fails if it does not hold within the timeout. */
   void await(String what, BooleanSupplier condition) {
-    if (!fleet.clock().advanceUntil(condition, PATIENCE)) {
-      throw new AssertionError("waited in vain for " + what);
+    if (!fleet.clock().advanceUntil(condition, TIMEOUT)) {
+      throw new AssertionError("timed out waiting for " + what);
     }
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/ClaimDesk.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/ClaimService.java
@@ -27,17 +27,17 @@
 import org.vaneworks.coordination.store.PlatformStore;
 
 /**
- * Claims callers' keys, through the present writer of each key's shard.
+ * Claims idempotency keys through the node that currently writes the shard of each key.
  *
- * <p>The writer is picked by rendezvous; if it does not answer, this node writes itself, which is
- * as safe. Thread-safe.
+ * <p>The writer of a shard is chosen by rendezvous hashing. If it does not answer, this node writes
+ * the shard itself, which is equally safe. Thread-safe.
  */
-final class ClaimDesk {
-  /** How many documents the claims are spread over; see docs/CAPACITY.md for why. */
+final class ClaimService {
+  /** Number of store documents that the claims are sharded over; docs/CAPACITY.md explains it. */
   static final int SHARDS = 8;
 
-  private static final Duration CLAIM_LIMIT = Duration.ofSeconds(3);
-  private static final Duration WRITER_LIMIT = Duration.ofMillis(1500);
+  private static final Duration LOCAL_CLAIM_TIMEOUT = Duration.ofSeconds(3);
+  private static final Duration WRITER_TIMEOUT = Duration.ofMillis(1500);
 
   private final Executor executor;
   private final PlatformStore store;
@@ -47,7 +47,7 @@
   private final PeerLink link;
   private final Map<Integer, ClaimShard> shards = new ConcurrentHashMap<>();
 
-  ClaimDesk(
+  ClaimService(
       Executor executor,
       PlatformStore store,
       ClaimFormat format,
@@ -62,7 +62,7 @@
     this.link = checkNotNull(link);
   }
 
-  /** Returns the hash that a workspace's key is claimed under. */
+  /** Returns the hash under which the idempotency key of a workspace is claimed. */
   static String hashOf(String workspace, String key) {
     return Hashing.sha256()
         .hashString(workspace + "\n" + key, StandardCharsets.UTF_8)
@@ -70,29 +70,29 @@
         .substring(0, 32);
   }
 
-  /** Claims a key; returns the claim in force, this one or an earlier one. */
+  /** Claims a key; returns the claim that holds it: this one or an earlier one. */
   CompletableFuture<Claim> claim(Claim claim) {
     int shard = shardOf(claim.key());
     String writer = members.pick("claims/" + shard).get(0);
     Optional<Member> peer =
         members.find(writer).filter(member -> !writer.equals(members.self().identity()));
     if (peer.isEmpty()) {
-      return shard(shard).claim(claim, CLAIM_LIMIT);
+      return shard(shard).claim(claim, LOCAL_CLAIM_TIMEOUT);
     }
     AskClaims ask = new AskClaims(shard, ImmutableList.of(claim));
     return Async.compose(
-        link.ask(peer.get().address(), ask, WRITER_LIMIT),
+        link.ask(peer.get().address(), ask, WRITER_TIMEOUT),
         (reply, failure) ->
             failure == null && reply instanceof Claims claims && claims.held().size() == 1
                 ? CompletableFuture.completedFuture(claims.held().get(0))
-                : shard(shard).claim(claim, CLAIM_LIMIT));
+                : shard(shard).claim(claim, LOCAL_CLAIM_TIMEOUT));
   }
 
-  /** Claims keys for a peer. */
+  /** Claims keys on behalf of a peer. */
   CompletableFuture<PeerMessage> serve(AskClaims ask) {
     List<CompletableFuture<Claim>> held = new ArrayList<>();
     for (Claim claim : ask.claims()) {
-      held.add(shard(ask.shard()).claim(claim, WRITER_LIMIT));
+      held.add(shard(ask.shard()).claim(claim, WRITER_TIMEOUT));
     }
     return CompletableFuture.allOf(held.toArray(CompletableFuture[]::new))
         .thenApply(
--- a/vaneworks/src/main/java/org/vaneworks/coordination/ConfigurationSpread.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/ConfigurationReplicator.java
@@ -28,86 +28,88 @@
 import org.vaneworks.telemetry.EventLog;
 
 /**
- * Takes newer configurations from peers, and gives them on.
+ * Fetches newer configurations from peers, and serves this node's configuration to them.
  *
- * <p>A node that hears of a newer version on any message fetches head and missing pages from the
- * sender, at once, and tells a few others in turn. Thread-safe.
+ * <p>Messages between peers carry the configuration version of the sender. A node that receives a
+ * newer version immediately fetches the head and the missing pages from the sender, and then
+ * notifies a few other peers. Thread-safe.
  */
-final class ConfigurationSpread {
-  private static final Duration FETCH_LIMIT = Duration.ofSeconds(2);
+final class ConfigurationReplicator {
+  private static final Duration FETCH_TIMEOUT = Duration.ofSeconds(2);
   private static final int PAGES_PER_MESSAGE = 32;
 
   private final Executor executor;
-  private final ConfigurationBoard board;
+  private final ConfigurationBoard configuration;
   private final PeerLink link;
 
   @GuardedBy("this")
-  private long fetching;
+  private long fetchingVersion;
 
-  ConfigurationSpread(Executor executor, ConfigurationBoard board, PeerLink link) {
+  ConfigurationReplicator(Executor executor, ConfigurationBoard configuration, PeerLink link) {
     this.executor = checkNotNull(executor);
-    this.board = checkNotNull(board);
+    this.configuration = checkNotNull(configuration);
     this.link = checkNotNull(link);
   }
 
-  /** Fetches the configuration of a peer that has a newer one. */
+  /** Fetches the configuration of a peer that announced a newer version. */
   void fetch(Gossip newer) {
     synchronized (this) {
-      if (fetching >= newer.version()) {
+      if (fetchingVersion >= newer.version()) {
         return;
       }
-      fetching = newer.version();
+      fetchingVersion = newer.version();
     }
     HostPort peer = newer.sender().address();
     Async.onDone(
-        link.ask(peer, new AskHead(), FETCH_LIMIT).thenCompose(reply -> offer(reply, peer)),
+        link.ask(peer, new AskHead(), FETCH_TIMEOUT).thenCompose(reply -> offer(reply, peer)),
         executor,
-        (done, failure) -> fetched(failure));
+        (done, failure) -> onFetched(failure));
   }
 
   private CompletableFuture<Void> offer(PeerMessage reply, HostPort peer) {
     if (reply instanceof Head head && !head.text().isEmpty()) {
-      return board.offer(head.text(), hashes -> pagesOf(peer, hashes));
+      return configuration.offer(head.text(), hashes -> fetchPages(peer, hashes));
     }
     return CompletableFuture.completedFuture(null);
   }
 
-  /** After a failure the next message that tells of the version starts a new try. */
-  private void fetched(Throwable failure) {
+  /** Ends a fetch; after a failure the next message with the newer version starts another. */
+  private void onFetched(Throwable failure) {
     synchronized (this) {
-      fetching = board.version();
+      fetchingVersion = configuration.version();
     }
     if (failure != null) {
       EventLog.info(Event.PEER_FAILED, "asked", "configuration", "cause", failure.getMessage());
     }
   }
 
-  private CompletableFuture<ImmutableMap<String, String>> pagesOf(
+  private CompletableFuture<ImmutableMap<String, String>> fetchPages(
       HostPort peer, Set<String> hashes) {
-    Iterator<List<String>> chunks = Iterables.partition(hashes, PAGES_PER_MESSAGE).iterator();
-    return more(peer, chunks, new HashMap<>());
+    Iterator<List<String>> remainingChunks =
+        Iterables.partition(hashes, PAGES_PER_MESSAGE).iterator();
+    return fetchChunks(peer, remainingChunks, new HashMap<>());
   }
 
-  private CompletableFuture<ImmutableMap<String, String>> more(
-      HostPort peer, Iterator<List<String>> chunks, Map<String, String> found) {
-    if (!chunks.hasNext()) {
-      return CompletableFuture.completedFuture(ImmutableMap.copyOf(found));
+  private CompletableFuture<ImmutableMap<String, String>> fetchChunks(
+      HostPort peer, Iterator<List<String>> remainingChunks, Map<String, String> pagesByHash) {
+    if (!remainingChunks.hasNext()) {
+      return CompletableFuture.completedFuture(ImmutableMap.copyOf(pagesByHash));
     }
-    AskPages ask = new AskPages(ImmutableSet.copyOf(chunks.next()));
-    return link.ask(peer, ask, FETCH_LIMIT)
+    AskPages ask = new AskPages(ImmutableSet.copyOf(remainingChunks.next()));
+    return link.ask(peer, ask, FETCH_TIMEOUT)
         .thenCompose(
             reply -> {
               if (reply instanceof Pages pages) {
-                found.putAll(pages.pages());
+                pagesByHash.putAll(pages.pages());
               }
-              return more(peer, chunks, found);
+              return fetchChunks(peer, remainingChunks, pagesByHash);
             });
   }
 
-  /** Serves a peer's question for head or pages. */
+  /** Answers a peer's request for the head or for pages. */
   PeerMessage serve(PeerMessage message) {
     return message instanceof AskPages ask
-        ? new Pages(board.pages(ask.hashes()))
-        : new Head(board.headText());
+        ? new Pages(configuration.pages(ask.hashes()))
+        : new Head(configuration.headText());
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/Lifecycle.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/Lifecycle.java
@@ -8,25 +8,26 @@
 import org.vaneworks.state.Refusal;
 
 /**
- * Whether the node takes requests, and how many are in flight.
+ * Tracks whether the node accepts requests and how many are in flight.
  *
- * <p>Counting a request in and refusing it are one step under one lock, so that none slips in after
- * the stop has seen the last one out. Thread-safe.
+ * <p>Checking the phase and counting the request is one atomic step, so that no request is accepted
+ * after a stop has found the node idle. Thread-safe.
  */
 public final class Lifecycle {
-  /** The phases of a node's life, in order. */
+  /** The phases of a node, in order. */
   public enum Phase {
-    /** No configuration was read yet. */
+    /** The node has not read a configuration yet and refuses requests. */
     STARTING,
-    /** Takes requests. */
+    /** The node accepts requests. */
     READY,
-    /** Tells the balancer that it is going, and still takes requests. */
+    /** The node reports to the load balancer that it is not ready, but still accepts requests. */
     LEAVING,
-    /** Refuses new requests and finishes those in flight. */
+    /** The node refuses new requests and finishes those in flight. */
     REFUSING
   }
 
-  private static final Duration ANOTHER_NODE = Duration.ofMillis(100);
+  /** Sent by a stopping node, so that the caller retries through the balancer on another node. */
+  private static final Duration STOPPING_RETRY_AFTER = Duration.ofMillis(100);
 
   @GuardedBy("this")
   private Phase phase = Phase.STARTING;
@@ -39,24 +40,24 @@
 
   private Lifecycle() {}
 
-  /** Returns the life of a node that starts. */
+  /** Creates the lifecycle of a node that is starting. */
   public static Lifecycle create() {
     return new Lifecycle();
   }
 
-  /** Returns the present phase. */
+  /** Returns the current phase. */
   public synchronized Phase phase() {
     return phase;
   }
 
-  /** Moves on to a later phase; an earlier one is ignored. */
+  /** Advances to a later phase; does nothing if the given phase is not later. */
   public synchronized void advance(Phase next) {
     if (next.compareTo(phase) > 0) {
       phase = next;
     }
   }
 
-  /** Counts a request in, or says why it can't be taken. */
+  /** Counts a new request as in flight, or returns the refusal if the node accepts none. */
   synchronized Optional<Refusal> enter() {
     if (phase == Phase.STARTING) {
       return Optional.of(
@@ -66,34 +67,34 @@
     if (phase == Phase.REFUSING) {
       return Optional.of(
           Refusal.before(Reason.STOPPING, "ask again; the balancer knows other nodes")
-              .withRetryAfter(ANOTHER_NODE));
+              .withRetryAfter(STOPPING_RETRY_AFTER));
     }
     inFlight++;
     return Optional.empty();
   }
 
-  /** Counts a request out. */
+  /** Counts a request as ended. */
   void leave() {
-    Optional<CompletableFuture<Void>> done;
+    Optional<CompletableFuture<Void>> idleFuture;
     synchronized (this) {
       inFlight--;
-      done = inFlight == 0 ? idle : Optional.empty();
+      idleFuture = inFlight == 0 ? idle : Optional.empty();
     }
-    done.ifPresent(future -> future.complete(null));
+    idleFuture.ifPresent(future -> future.complete(null));
   }
 
-  /** Returns how many requests are in flight. */
+  /** Returns the number of requests in flight. */
   public synchronized int inFlight() {
     return inFlight;
   }
 
-  /** Returns a future that is done once no request is in flight; to be asked when refusing. */
+  /** Returns a future that completes once no request is in flight; for the last phase only. */
   synchronized CompletableFuture<Void> whenIdle() {
-    CompletableFuture<Void> done = idle.orElseGet(CompletableFuture::new);
-    idle = Optional.of(done);
+    CompletableFuture<Void> idleFuture = idle.orElseGet(CompletableFuture::new);
+    idle = Optional.of(idleFuture);
     if (inFlight == 0) {
-      done.complete(null);
+      idleFuture.complete(null);
     }
-    return done;
+    return idleFuture;
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/Node.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/Node.java
@@ -34,69 +34,77 @@
 import org.vaneworks.telemetry.EventLog;
 
 /**
- * One node: every decision of a {@code vaneworksd}, without its sockets.
+ * One node: the decision logic of {@code vaneworksd} without network I/O.
  *
- * <p>Several nodes can be wired together in one process. Thread-safe.
+ * <p>Several nodes can run in one process, for example in tests. Thread-safe.
  */
 public final class Node {
-  /** Nodes of a data centre that hold a watch on the configuration's head. */
+  /** Number of nodes per data centre that watch the configuration head in the store. */
   private static final int HEAD_WATCHERS = 2;
 
-  /** Nodes of a data centre that read the box list often. */
-  private static final int LIST_READERS = 3;
+  /** Number of nodes per data centre that read the box list frequently. */
+  private static final int BOX_LIST_READERS = 3;
 
   private final NodeSettings settings;
-  private final NodeOutside outside;
+  private final NodeDependencies dependencies;
   private final Lifecycle lifecycle = Lifecycle.create();
   private final Membership membership;
-  private final ConfigurationBoard board;
+  private final ConfigurationBoard configuration;
   private final ConfigurationFollower follower;
-  private final ConfigurationSpread spread;
+  private final ConfigurationReplicator replicator;
   private final EndpointTable table;
   private final EndpointMonitor monitor;
-  private final RequestGate gate;
+  private final RequestDispatcher dispatcher;
 
-  private Node(NodeSettings settings, NodeOutside outside) {
+  private Node(NodeSettings settings, NodeDependencies dependencies) {
     this.settings = settings;
-    this.outside = outside;
+    this.dependencies = dependencies;
     PlatformStore store =
         BudgetedStore.of(
-            outside.store(), outside.executor(), outside.counters(), settings.limits().store());
-    this.board =
+            dependencies.store(),
+            dependencies.executor(),
+            dependencies.counters(),
+            settings.limits().store());
+    this.configuration =
         ConfigurationBoard.create(
-            outside.executor(), outside.configurationFormat(), PageSource.of(store));
+            dependencies.executor(), dependencies.configurationFormat(), PageSource.of(store));
     this.membership = createMembership();
     MemberTable members = membership.table();
     this.follower =
         ConfigurationFollower.create(
-            outside.executor(),
+            dependencies.executor(),
             store,
-            board,
+            configuration,
             () -> members.isPickedHere("head", HEAD_WATCHERS),
-            outside.random());
-    this.spread = new ConfigurationSpread(outside.executor(), board, outside.peers());
+            dependencies.random());
+    this.replicator =
+        new ConfigurationReplicator(dependencies.executor(), configuration, dependencies.peers());
     this.table =
         EndpointTable.create(
-            outside.executor(), settings.limits().endpoints(), outside.counters(), members::size);
+            dependencies.executor(),
+            settings.limits().endpoints(),
+            dependencies.counters(),
+            members::size);
     this.monitor =
         EndpointMonitor.create(
-            outside.executor(),
-            outside.boxes(),
-            outside.endpoints(),
+            dependencies.executor(),
+            dependencies.boxes(),
+            dependencies.endpoints(),
             table,
-            outside.random(),
-            () -> members.isPickedHere("boxes", LIST_READERS),
-            this::noteBoxes);
-    RequestWiring wiring = new RequestWiring(settings, outside, table, members::size);
+            dependencies.random(),
+            () -> members.isPickedHere("boxes", BOX_LIST_READERS),
+            this::updateSeeds);
+    RequestWiring wiring = new RequestWiring(settings, dependencies, table, members::size);
     RoutePlanner planner = wiring.planner();
     AdmissionControl admission = wiring.admission(planner);
-    this.gate = wiring.gate(lifecycle, board, planner, admission, store, members);
-    listen(admission);
+    this.dispatcher =
+        wiring.dispatcher(lifecycle, configuration, planner, admission, store, members);
+    registerListeners(admission);
   }
 
-  /** Returns a node that is yet to be started. */
-  public static Node create(NodeSettings settings, NodeOutside outside) {
-    return new Node(settings, outside);
+  /** Creates a node, which does nothing until {@link #start} is called. */
+  public static Node create(NodeSettings settings, NodeDependencies dependencies) {
+    return new Node(settings, dependencies);
   }
 
   private Membership createMembership() {
@@ -109,41 +117,41 @@
             MemberStatus.ALIVE,
             Optional.empty());
     return Membership.create(
-        outside.executor(),
-        outside.peers(),
-        MemberTable.create(outside.executor(), self),
-        outside.random(),
-        board::version);
+        dependencies.executor(),
+        dependencies.peers(),
+        MemberTable.create(dependencies.executor(), self),
+        dependencies.random(),
+        configuration::version);
   }
 
-  private void listen(AdmissionControl admission) {
-    board.onChange(
+  private void registerListeners(AdmissionControl admission) {
+    configuration.onChange(
         snapshot -> {
-          becomeReady();
+          advanceToReady();
           membership.tellSome();
         });
-    membership.onNewerVersion(spread::fetch);
+    membership.onNewerVersion(replicator::fetch);
     membership.onLeaving(
         hint -> table.find(hint.endpoint()).ifPresent(state -> table.leaving(state, "a peer")));
     table.onLeaving(state -> membership.tellLeaving(new EndpointHint(state.endpoint().id())));
     monitor.onUsable(admission::recheck);
   }
 
-  /** Starts to read the configuration and to look for endpoints and peers. */
+  /** Starts reading the configuration and discovering endpoints and peers. */
   public void start() {
     follower.start();
     monitor.start();
     membership.start();
   }
 
-  private void becomeReady() {
+  private void advanceToReady() {
     if (lifecycle.phase() == Phase.STARTING) {
       lifecycle.advance(Phase.READY);
-      EventLog.info(Event.READY, "node", settings.identity(), "version", board.version());
+      EventLog.info(Event.READY, "node", settings.identity(), "version", configuration.version());
     }
   }
 
-  private void noteBoxes(ImmutableList<Box> boxes) {
+  private void updateSeeds(ImmutableList<Box> boxes) {
     membership.seeds(
         boxes.stream()
             .filter(box -> box.role() == Box.Role.ENTRY && !box.leaving())
@@ -151,56 +159,62 @@
             .collect(toImmutableSet()));
   }
 
-  /** Serves a message of a peer. */
+  /** Handles a message from a peer and returns the reply. */
   public CompletableFuture<PeerMessage> serve(PeerMessage message) {
     if (message instanceof RunOnce run) {
-      return gate.serve(run);
+      return dispatcher.serve(run);
     }
     if (message instanceof AskClaims ask) {
-      return gate.once().serve(ask);
+      return dispatcher.once().serve(ask);
     }
     if (message instanceof HandOver part) {
-      return CompletableFuture.completedFuture(takeRecords(part));
+      return CompletableFuture.completedFuture(receiveRecords(part));
     }
     if (message instanceof Ping || message instanceof PingFor) {
       return membership.serve(message);
     }
     if (message instanceof AskHead || message instanceof AskPages) {
-      return CompletableFuture.completedFuture(spread.serve(message));
+      return CompletableFuture.completedFuture(replicator.serve(message));
     }
     return CompletableFuture.completedFuture(
         new PeerMessage.Failed("not a request: " + message.getClass().getSimpleName()));
   }
 
-  /** A node that is going itself is no successor. */
-  private PeerMessage takeRecords(HandOver part) {
+  /** Receives records from a stopping node, unless this node is itself not ready. */
+  private PeerMessage receiveRecords(HandOver part) {
     return lifecycle.phase() == Phase.READY
-        ? gate.once().take(part)
+        ? dispatcher.once().receive(part)
         : new PeerMessage.Failed("this node is " + lifecycle.phase());
   }
 
   /**
-   * Stops as planned: no request in flight is cut before the stop deadline.
+   * Stops the node gracefully: requests in flight are aborted only when the stop deadline passes.
    *
-   * @return done once nothing is in flight, with the number of requests cut, 0 unless the deadline
-   *     passed
+   * @return a future that completes once the node has stopped, with the number of aborted requests,
+   *     which is 0 unless the deadline passed
    */
   public CompletableFuture<Integer> stop() {
     lifecycle.advance(Phase.LEAVING);
     EventLog.info(Event.STOP_REQUESTED, "inFlight", lifecycle.inFlight());
     StopTimes times = settings.limits().stop();
-    CompletableFuture<Void> gone =
-        Async.delay(outside.executor(), times.balancerLag())
+    CompletableFuture<Void> gracefulStop =
+        Async.delay(dependencies.executor(), times.balancerLag())
             .thenCompose(lagOver -> refuseAndDrain())
-            .thenCompose(drained -> gate.once().handOver())
+            .thenCompose(drained -> dispatcher.once().handOver())
             .thenAccept(membership::tellLeft);
-    CompletableFuture<Void> bounded = new CompletableFuture<>();
-    var timer = outside.executor().schedule(() -> bounded.complete(null), times.deadline());
-    Async.onDone(gone, outside.executor(), (done, failure) -> bounded.complete(null));
-    return bounded.thenApply(
+    CompletableFuture<Void> completedOrTimedOut = new CompletableFuture<>();
+    var timer =
+        dependencies
+            .executor()
+            .schedule(() -> completedOrTimedOut.complete(null), times.deadline());
+    Async.onDone(
+        gracefulStop,
+        dependencies.executor(),
+        (done, failure) -> completedOrTimedOut.complete(null));
+    return completedOrTimedOut.thenApply(
         done -> {
           timer.cancel();
-          return stopped();
+          return finishStop();
         });
   }
 
@@ -210,7 +224,7 @@
     return lifecycle.whenIdle();
   }
 
-  private int stopped() {
+  private int finishStop() {
     int cut = lifecycle.inFlight();
     follower.stop();
     monitor.stop();
@@ -223,37 +237,37 @@
     return cut;
   }
 
-  /** Returns what takes callers' requests. */
-  public RequestGate gate() {
-    return gate;
+  /** Returns the entry point for callers' requests. */
+  public RequestDispatcher dispatcher() {
+    return dispatcher;
   }
 
-  /** Returns the node's phase. */
+  /** Returns the current phase of the node. */
   public Phase phase() {
     return lifecycle.phase();
   }
 
-  /** Returns how many requests are in flight. */
+  /** Returns the number of requests in flight. */
   public int inFlight() {
     return lifecycle.inFlight();
   }
 
-  /** Returns the configuration in force. */
+  /** Returns the holder of the active configuration. */
   public ConfigurationBoard configuration() {
-    return board;
+    return configuration;
   }
 
-  /** Returns the endpoints that the node knows. */
+  /** Returns the known endpoints. */
   public EndpointTable endpoints() {
     return table;
   }
 
-  /** Returns the other nodes that the node knows. */
+  /** Returns the known members of the cluster. */
   public MemberTable members() {
     return membership.table();
   }
 
-  /** Returns what the node was told of itself. */
+  /** Returns the settings of the node. */
   public NodeSettings settings() {
     return settings;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/NodeOutside.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/NodeDependencies.java
@@ -13,19 +13,19 @@
 import org.vaneworks.telemetry.Counters;
 
 /**
- * Everything that a node reaches the outside through.
+ * The external services that a node depends on.
  *
  * @param executor worker pool, timers and clock
- * @param random seeded source of chance
+ * @param random source of random numbers
  * @param store the platform's store
  * @param boxes the platform's box list
- * @param endpoints calls to endpoints
- * @param peers calls to other nodes
- * @param configurationFormat text forms of the configuration
- * @param claimFormat text form of claims
- * @param counters the node's counters
+ * @param endpoints sends calls to endpoints
+ * @param peers sends calls to other nodes
+ * @param configurationFormat encodes and decodes configurations
+ * @param claimFormat encodes and decodes claims
+ * @param counters the metrics of the node
  */
-public record NodeOutside(
+public record NodeDependencies(
     Executor executor,
     Random random,
     PlatformStore store,
@@ -35,8 +35,8 @@
     ConfigurationFormat configurationFormat,
     ClaimFormat claimFormat,
     Counters counters) {
-  /** Checks that every part is given. */
-  public NodeOutside {
+  /** Checks that the components are given. */
+  public NodeDependencies {
     checkNotNull(executor);
     checkNotNull(random);
     checkNotNull(store);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/NodeLimits.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/NodeLimits.java
@@ -9,14 +9,14 @@
 import org.vaneworks.coordination.store.StoreBudget;
 
 /**
- * Bounds on what a node does.
+ * The limits that a node operates under.
  *
  * @param routing how routes are chosen and requests admitted
- * @param endpoints bounds on the use of one endpoint
- * @param streams bounds on one stream
- * @param once bounds on records of requests that run at most once
- * @param store budget of calls to the platform's store
- * @param stop how long the parts of a planned stop take
+ * @param endpoints limits on the use of each endpoint
+ * @param streams limits on each stream
+ * @param once limits on the records of requests that run at most once
+ * @param store budget for calls to the platform's store
+ * @param stop durations of the steps of a planned stop
  */
 public record NodeLimits(
     RoutingSettings routing,
@@ -25,7 +25,7 @@
     OnceLimits once,
     StoreBudget store,
     StopTimes stop) {
-  /** Checks that every part is given. */
+  /** Checks that the components are given. */
   public NodeLimits {
     checkNotNull(routing);
     checkNotNull(endpoints);
@@ -35,7 +35,7 @@
     checkNotNull(stop);
   }
 
-  /** Returns what holds unless settings say otherwise. */
+  /** Returns the default limits. */
   public static NodeLimits defaults() {
     return new NodeLimits(
         RoutingSettings.defaults(),
@@ -46,17 +46,17 @@
         StopTimes.defaults());
   }
 
-  /** Returns a copy with other bounds on streams. */
+  /** Returns a copy with other limits on streams. */
   public NodeLimits withStreams(PipelineLimits other) {
     return new NodeLimits(routing, endpoints, other, once, store, stop);
   }
 
-  /** Returns a copy with other times of a planned stop. */
+  /** Returns a copy with other durations of a planned stop. */
   public NodeLimits withStop(StopTimes other) {
     return new NodeLimits(routing, endpoints, streams, once, store, other);
   }
 
-  /** Returns a copy with other routing. */
+  /** Returns a copy with other routing settings. */
   public NodeLimits withRouting(RoutingSettings other) {
     return new NodeLimits(other, endpoints, streams, once, store, stop);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/NodeSettings.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/NodeSettings.java
@@ -6,14 +6,14 @@
 import org.vaneworks.state.HostPort;
 
 /**
- * What a node is told of itself.
+ * The settings of a node.
  *
- * @param name the box's name
- * @param incarnation names this run of the node
- * @param ticketSecret signs this run's tickets
- * @param peerAddress where peers reach it
- * @param dataCentre where its box stands
- * @param limits bounds on what the node does
+ * @param name name of the box that the node runs on
+ * @param incarnation identifier of this run of the node
+ * @param ticketSecret key that signs the tickets of this run
+ * @param peerAddress address at which peers reach the node
+ * @param dataCentre data centre of the box
+ * @param limits limits that the node operates under
  */
 public record NodeSettings(
     String name,
@@ -22,17 +22,17 @@
     HostPort peerAddress,
     String dataCentre,
     NodeLimits limits) {
-  /** Checks that every part is given. */
+  /** Checks that the components are given. */
   public NodeSettings {
-    checkArgument(!name.isEmpty(), "the node must be named");
-    checkArgument(!incarnation.isEmpty(), "the incarnation must be given");
-    checkArgument(!ticketSecret.isEmpty(), "the ticket secret must be given");
+    checkArgument(!name.isEmpty(), "name must not be empty");
+    checkArgument(!incarnation.isEmpty(), "incarnation must not be empty");
+    checkArgument(!ticketSecret.isEmpty(), "ticketSecret must not be empty");
     checkNotNull(peerAddress);
     checkNotNull(dataCentre);
     checkNotNull(limits);
   }
 
-  /** Returns the name that is unique among all runs of all nodes. */
+  /** Returns an identifier that is unique among all runs of all nodes. */
   public String identity() {
     return name + "~" + incarnation;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/OnceService.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/OnceService.java
@@ -26,16 +26,16 @@
 import org.vaneworks.coordination.membership.PeerMessage.OnceReply;
 import org.vaneworks.coordination.membership.PeerMessage.RunOnce;
 import org.vaneworks.coordination.once.Claim;
-import org.vaneworks.coordination.once.OnceBook;
 import org.vaneworks.coordination.once.OnceDelivery;
 import org.vaneworks.coordination.once.OnceOutcome;
 import org.vaneworks.coordination.once.OnceRecord;
+import org.vaneworks.coordination.once.OnceRecordTable;
 import org.vaneworks.coordination.once.OnceRequest;
 import org.vaneworks.coordination.once.OnceStarter;
 import org.vaneworks.coordination.once.OnceWork;
 import org.vaneworks.coordination.once.RecordsPart;
 import org.vaneworks.coordination.once.TicketAuthority;
-import org.vaneworks.coordination.once.TicketOffice;
+import org.vaneworks.coordination.once.TicketIssuer;
 import org.vaneworks.coordination.pipeline.AnswerSink;
 import org.vaneworks.coordination.requests.CallerOptions;
 import org.vaneworks.state.Reason;
@@ -47,28 +47,39 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * Runs requests at most once, whichever node a caller asks.
+ * Runs each request with a ticket or an idempotency key at most once in the whole cluster.
  *
- * <p>Exactly one node may run a request: the home of its ticket, or the holder of its key's claim.
- * Any node sends the request there and passes the outcome on. When that node is gone the answer is
- * that the request may have run; nobody takes the right to run over, except by a planned hand-over.
- * Thread-safe.
+ * <p>Exactly one node may run such a request: the home of its ticket (the node that issued it), or
+ * the holder of the claim of its key. Every other node forwards the request to that node and
+ * returns the outcome. If that node has failed, the caller is told that the request may have run;
+ * no other node may run it, unless the records were handed over during a planned stop. Thread-safe.
  */
 final class OnceService {
-  private static final String CLAIM_RECORD = "claim:";
-  private static final Duration FORWARD_LIMIT = Duration.ofMinutes(5);
-  private static final Duration HAND_OVER_LIMIT = Duration.ofSeconds(5);
-  private static final Duration ASK_AGAIN = Duration.ofSeconds(1);
+  /** Prefix of the identifiers of records that belong to a claim rather than to a ticket. */
+  private static final String CLAIM_RECORD_PREFIX = "claim:";
+
+  /** How long a request without a deadline is forwarded. */
+  private static final Duration DEFAULT_FORWARD_TIMEOUT = Duration.ofMinutes(5);
+
+  private static final Duration HAND_OVER_TIMEOUT = Duration.ofSeconds(5);
+  private static final Duration HOLDER_LOST_RETRY_AFTER = Duration.ofSeconds(1);
   private static final int RECORDS_PER_PART = 200;
+
+  /** Maximum number of hand-overs that are followed to find the current holder of a record. */
   private static final int MAX_SUCCESSORS = 8;
-  private static final Duration HOLDER_LIMIT = Duration.ofSeconds(2);
-  private static final Duration SAY_RUNNING_AFTER = Duration.ofSeconds(1);
-  private static final int MAX_SILENCES = 2;
+
+  private static final Duration HOLDER_TIMEOUT = Duration.ofSeconds(2);
+
+  /** When to report a request as still running; below {@link #HOLDER_TIMEOUT}. */
+  private static final Duration STILL_RUNNING_DELAY = Duration.ofSeconds(1);
+
+  /** Number of consecutive unanswered calls after which the holder is regarded as lost. */
+  private static final int MAX_UNANSWERED_CALLS = 2;
 
   private final Executor executor;
-  private final OnceBook book;
-  private final TicketOffice office;
-  private final ClaimDesk desk;
+  private final OnceRecordTable records;
+  private final TicketIssuer ticketIssuer;
+  private final ClaimService claimService;
   private final MemberTable members;
   private final PeerLink link;
   private final OnceStarter starter;
@@ -76,57 +87,59 @@
   private final AtomicLong claims = new AtomicLong();
 
   @GuardedBy("this")
-  private final Map<String, Map<Integer, RecordsPart>> arriving = new HashMap<>();
+  private final Map<String, Map<Integer, RecordsPart>> receivedParts = new HashMap<>();
 
   OnceService(
       Executor executor,
-      OnceBook book,
-      TicketOffice office,
-      ClaimDesk desk,
+      OnceRecordTable records,
+      TicketIssuer ticketIssuer,
+      ClaimService claimService,
       MemberTable members,
       PeerLink link,
       OnceStarter starter,
       Counters counters) {
     this.executor = checkNotNull(executor);
-    this.book = checkNotNull(book);
-    this.office = checkNotNull(office);
-    this.desk = checkNotNull(desk);
+    this.records = checkNotNull(records);
+    this.ticketIssuer = checkNotNull(ticketIssuer);
+    this.claimService = checkNotNull(claimService);
     this.members = checkNotNull(members);
     this.link = checkNotNull(link);
     this.starter = checkNotNull(starter);
     this.counters = checkNotNull(counters);
   }
 
-  /** Issues tickets whose home is this node. */
+  /** Issues the given number of tickets, whose home is this node. */
   ImmutableList<String> issue(int count) {
-    return office.issue(count);
+    return ticketIssuer.issue(count);
   }
 
   /**
-   * Has a request run that carries a ticket or key; never fails.
+   * Runs a request that has a ticket or an idempotency key, on this node or on the one that may run
+   * it.
    *
-   * @param live takes a completion's tokens as they come, if it runs here
+   * @param live receives the tokens of a completion as they are generated, if it runs on this node
+   * @return the outcome; the future never completes exceptionally
    */
   CompletableFuture<OnceOutcome> submit(
       String workspace, OnceWork work, CallerOptions options, AnswerSink live) {
     CompletableFuture<OnceOutcome> outcome =
         options.ticket().isPresent()
-            ? byTicket(options.ticket().get(), workspace, work, options, live)
-            : byKey(options.key().orElseThrow(), workspace, work, options, live);
+            ? submitByTicket(options.ticket().get(), workspace, work, options, live)
+            : submitByKey(options.key().orElseThrow(), workspace, work, options, live);
     return outcome.exceptionally(
         failure -> new OnceOutcome.Refused(RefusalException.refusalOf(failure).withoutProof()));
   }
 
-  private CompletableFuture<OnceOutcome> byTicket(
+  private CompletableFuture<OnceOutcome> submitByTicket(
       String ticket, String workspace, OnceWork work, CallerOptions options, AnswerSink live) {
     String home;
     try {
-      home = TicketOffice.homeOf(ticket);
+      home = TicketIssuer.homeOf(ticket);
     } catch (IllegalArgumentException e) {
       return refused(Refusal.before(Reason.UNKNOWN_TICKET, e.getMessage()));
     }
     OnceRequest request = request(ticket, true, workspace, work, options);
-    return office.answersFor(home) ? here(request, live) : forward(home, request);
+    return ticketIssuer.isResponsibleFor(home) ? runLocally(request, live) : forward(home, request);
   }
 
   private static OnceRequest request(
@@ -135,55 +148,63 @@
         recordId, mayCreate, workspace, work, options.priority(), options.deadline());
   }
 
-  private CompletableFuture<OnceOutcome> byKey(
+  private CompletableFuture<OnceOutcome> submitByKey(
       String key, String workspace, OnceWork work, CallerOptions options, AnswerSink live) {
     String self = members.self().identity();
     String claimId = self + "#" + claims.incrementAndGet();
-    Claim wanted = new Claim(ClaimDesk.hashOf(workspace, key), self, claimId, work.hash());
-    OnceRequest own = request(CLAIM_RECORD + claimId, true, workspace, work, options);
-    // The record comes first: a repeat that finds the claim before this node does must wait.
-    if (book.open(own.recordId(), work.hash(), true) instanceof OnceBook.Opening.Wait full) {
-      return full.outcome();
+    Claim claim = new Claim(ClaimService.hashOf(workspace, key), self, claimId, work.hash());
+    OnceRequest request = request(CLAIM_RECORD_PREFIX + claimId, true, workspace, work, options);
+    // Created before the claim: a repeated request may read the claim before this node learns that
+    // it won, and must then wait for this record.
+    if (records.start(request.recordId(), work.hash(), true)
+        instanceof OnceRecordTable.Decision.Wait existing) {
+      return existing.outcome();
     }
     return Async.compose(
-        desk.claim(wanted),
+        claimService.claim(claim),
         (held, failure) -> {
           if (failure != null) {
-            return unclaimed(own, failure);
+            return refuseUnclaimed(request, failure);
           }
           if (held.claimId().equals(claimId)) {
             counters.count(Metric.CLAIMS, "won");
-            return started(own, live);
+            return startAndRecord(request, live);
           }
           counters.count(Metric.CLAIMS, "held");
-          book.discard(own.recordId());
-          return byHeldClaim(held, workspace, work, options, live);
+          records.discard(request.recordId());
+          return followClaim(held, workspace, work, options, live);
         });
   }
 
-  /** Nothing ran, but the claim may yet turn out to be written: the record stays open to it. */
-  private CompletableFuture<OnceOutcome> unclaimed(OnceRequest own, Throwable failure) {
+  /**
+   * Refuses a request whose claim has an unknown outcome. Nothing ran, but the claim may have been
+   * written, so the record is kept and the request may still be started.
+   */
+  private CompletableFuture<OnceOutcome> refuseUnclaimed(OnceRequest request, Throwable failure) {
     counters.count(Metric.CLAIMS, "unavailable");
-    Refusal why = RefusalException.refusalOf(failure);
-    Refusal nothingRan = Refusal.before(why.reason(), why.detail());
-    book.finish(own.recordId(), new OnceOutcome.Refused(nothingRan));
-    return refused(why.withoutProof());
+    Refusal refusal = RefusalException.refusalOf(failure);
+    Refusal nothingRan = Refusal.before(refusal.reason(), refusal.detail());
+    records.finish(request.recordId(), new OnceOutcome.Refused(nothingRan));
+    return refused(refusal.withoutProof());
   }
 
-  private CompletableFuture<OnceOutcome> byHeldClaim(
+  private CompletableFuture<OnceOutcome> followClaim(
       Claim held, String workspace, OnceWork work, CallerOptions options, AnswerSink live) {
     if (!held.bodyHash().equals(work.hash())) {
       return refused(Refusal.before(Reason.KEY_REUSED, "the first request had another body"));
     }
-    OnceRequest request = request(CLAIM_RECORD + held.claimId(), false, workspace, work, options);
-    return office.answersFor(held.holder()) ? here(request, live) : forward(held.holder(), request);
+    OnceRequest request =
+        request(CLAIM_RECORD_PREFIX + held.claimId(), false, workspace, work, options);
+    return ticketIssuer.isResponsibleFor(held.holder())
+        ? runLocally(request, live)
+        : forward(held.holder(), request);
   }
 
-  /** Runs a request or gives its outcome, as the node that alone may run it. */
-  private CompletableFuture<OnceOutcome> here(OnceRequest request, AnswerSink live) {
+  /** Runs a request, or returns its recorded outcome, on the node that may run it. */
+  private CompletableFuture<OnceOutcome> runLocally(OnceRequest request, AnswerSink live) {
     boolean mayCreate = request.mayCreate();
-    if (!request.recordId().startsWith(CLAIM_RECORD)) {
-      switch (office.worth(request.recordId())) {
+    if (!request.recordId().startsWith(CLAIM_RECORD_PREFIX)) {
+      switch (ticketIssuer.verify(request.recordId())) {
         case FORGED -> {
           return refused(Refusal.before(Reason.UNKNOWN_TICKET, "the signature is not ours"));
         }
@@ -191,63 +212,67 @@
         case VALID -> {}
       }
     }
-    OnceBook.Opening opening = book.open(request.recordId(), request.work().hash(), mayCreate);
-    if (opening instanceof OnceBook.Opening.Wait wait) {
+    OnceRecordTable.Decision decision =
+        records.start(request.recordId(), request.work().hash(), mayCreate);
+    if (decision instanceof OnceRecordTable.Decision.Wait wait) {
       counters.count(Metric.TICKETS, "recorded");
       return wait.outcome();
     }
     counters.count(Metric.TICKETS, "started");
-    return started(request, live);
+    return startAndRecord(request, live);
   }
 
-  private CompletableFuture<OnceOutcome> started(OnceRequest request, AnswerSink live) {
+  private CompletableFuture<OnceOutcome> startAndRecord(OnceRequest request, AnswerSink live) {
     return Async.compose(
         starter.start(request, live),
         (outcome, failure) -> {
-          OnceOutcome known =
+          OnceOutcome recorded =
               failure == null
                   ? outcome
                   : new OnceOutcome.Refused(
                       Refusal.mayHaveRun(Reason.INTERNAL, String.valueOf(failure)));
-          book.finish(request.recordId(), known);
-          return CompletableFuture.completedFuture(known);
+          records.finish(request.recordId(), recorded);
+          return CompletableFuture.completedFuture(recorded);
         });
   }
 
   private CompletableFuture<OnceOutcome> forward(String holder, OnceRequest request) {
-    Optional<Member> present = presentHolder(holder);
+    Optional<Member> present = currentHolder(holder);
     if (present.isEmpty()) {
       counters.count(Metric.TICKETS, "home-lost");
       return refused(Refusal.mayHaveRun(Reason.HOME_LOST, holder + " is gone"));
     }
-    if (office.answersFor(present.get().identity()) && isSelf(present.get())) {
-      return here(request, new OnceDelivery(NO_CALLER));
+    if (ticketIssuer.isResponsibleFor(present.get().identity()) && isSelf(present.get())) {
+      return runLocally(request, new OnceDelivery(DISCARDING_SINK));
     }
     counters.count(Metric.TICKETS, "forwarded");
-    long until = now() + request.deadline().orElse(FORWARD_LIMIT).toNanos();
-    return askHolder(present.get(), request, until, 0);
+    long deadline = now() + request.deadline().orElse(DEFAULT_FORWARD_TIMEOUT).toNanos();
+    return askHolder(present.get(), request, deadline, 0);
   }
 
   /**
-   * Asks the holder until the outcome is there. A holder that runs the request says so at once, so
-   * silence means that it, or the way to it, is gone; a lost reply is made good by asking again.
+   * Sends a request to its holder and repeats the call until the outcome is known.
+   *
+   * <p>A holder that is still running the request replies so well within the timeout. A missing
+   * reply therefore means that the holder or the connection failed, or that the reply was lost,
+   * which is why the call is repeated once.
    */
   private CompletableFuture<OnceOutcome> askHolder(
-      Member holder, OnceRequest request, long until, int silences) {
+      Member holder, OnceRequest request, long deadline, int unansweredCalls) {
     return Async.compose(
-        link.ask(holder.address(), new RunOnce(request), HOLDER_LIMIT),
+        link.ask(holder.address(), new RunOnce(request), HOLDER_TIMEOUT),
         (reply, failure) -> {
-          if (failure == null && reply instanceof OnceReply once) {
-            return CompletableFuture.completedFuture(once.outcome());
+          if (failure == null && reply instanceof OnceReply onceReply) {
+            return CompletableFuture.completedFuture(onceReply.outcome());
           }
           boolean running = failure == null && reply instanceof PeerMessage.StillRunning;
-          boolean silent = failure != null && silences + 1 < MAX_SILENCES;
-          if ((running || silent) && until - now() > 0) {
-            return askHolder(holder, request, until, running ? 0 : silences + 1);
+          boolean mayRetry = failure != null && unansweredCalls + 1 < MAX_UNANSWERED_CALLS;
+          if ((running || mayRetry) && deadline - now() > 0) {
+            return askHolder(holder, request, deadline, running ? 0 : unansweredCalls + 1);
           }
           return refused(
               Refusal.mayHaveRun(Reason.HOME_LOST, holder.identity() + " does not answer")
-                  .withRetryAfter(ASK_AGAIN));
+                  .withRetryAfter(HOLDER_LOST_RETRY_AFTER));
         });
   }
 
@@ -259,8 +284,8 @@
     return member.identity().equals(members.self().identity());
   }
 
-  /** Follows planned hand-overs to the node that has the records now. */
-  private Optional<Member> presentHolder(String holder) {
+  /** Follows planned hand-overs to the node that currently holds the records. */
+  private Optional<Member> currentHolder(String holder) {
     Optional<Member> member = members.find(holder);
     for (int i = 0; i < MAX_SUCCESSORS && member.isPresent(); i++) {
       if (member.get().isPresent()) {
@@ -271,7 +296,7 @@
     return Optional.empty();
   }
 
-  static final AnswerSink NO_CALLER =
+  static final AnswerSink DISCARDING_SINK =
       new AnswerSink() {
         @Override
         public void token(String text) {}
@@ -287,16 +312,16 @@
     return CompletableFuture.completedFuture(new OnceOutcome.Refused(refusal));
   }
 
-  /** Serves a request that a peer sent to its holder. */
+  /** Handles a request that a peer forwarded to this node as its holder. */
   CompletableFuture<PeerMessage> serve(RunOnce message) {
     OnceRequest request = message.request();
-    if (!office.answersFor(holderOf(request.recordId()))) {
+    if (!ticketIssuer.isResponsibleFor(holderOf(request.recordId()))) {
       return CompletableFuture.completedFuture(new PeerMessage.Failed("not the holder"));
     }
     CompletableFuture<PeerMessage> reply = new CompletableFuture<>();
-    executor.schedule(() -> reply.complete(new PeerMessage.StillRunning()), SAY_RUNNING_AFTER);
+    executor.schedule(() -> reply.complete(new PeerMessage.StillRunning()), STILL_RUNNING_DELAY);
     Async.onDone(
-        here(request, NO_CALLER),
+        runLocally(request, DISCARDING_SINK),
         executor,
         (outcome, failure) ->
             reply.complete(
@@ -306,24 +331,24 @@
     return reply;
   }
 
-  /** Claims keys for a peer whose shard's writer this node is. */
+  /** Claims keys on behalf of a peer, as the writer of their shard. */
   CompletableFuture<PeerMessage> serve(PeerMessage.AskClaims ask) {
-    return desk.serve(ask);
+    return claimService.serve(ask);
   }
 
   private static String holderOf(String recordId) {
-    if (recordId.startsWith(CLAIM_RECORD)) {
-      return recordId.substring(CLAIM_RECORD.length(), recordId.lastIndexOf('#'));
+    if (recordId.startsWith(CLAIM_RECORD_PREFIX)) {
+      return recordId.substring(CLAIM_RECORD_PREFIX.length(), recordId.lastIndexOf('#'));
     }
-    return TicketOffice.homeOf(recordId);
+    return TicketIssuer.homeOf(recordId);
   }
 
   // Planned hand-over.
 
   /**
-   * Hands every record to one other node; to be called once nothing runs any more.
+   * Hands all records over to one other node. Must be called only after all requests have ended.
    *
-   * @return the successor, if one took everything
+   * @return identity of the successor; empty if no node accepted all records
    */
   CompletableFuture<Optional<String>> handOver() {
     List<RecordsPart> parts = parts();
@@ -335,82 +360,83 @@
             .flatMap(Optional::stream)
             .filter(member -> member.status() == MemberStatus.ALIVE)
             .toList();
-    return handTo(candidates, 0, parts);
+    return handOverTo(candidates, 0, parts);
   }
 
   private List<RecordsPart> parts() {
-    List<List<OnceRecord>> chunks = Lists.partition(book.records(), RECORDS_PER_PART);
+    List<List<OnceRecord>> chunks = Lists.partition(records.records(), RECORDS_PER_PART);
     int count = Math.max(1, chunks.size());
     ImmutableList.Builder<RecordsPart> parts = ImmutableList.builder();
     for (int i = 0; i < count; i++) {
       ImmutableList<OnceRecord> records =
           i < chunks.size() ? ImmutableList.copyOf(chunks.get(i)) : ImmutableList.of();
       ImmutableList<TicketAuthority> authorities =
-          i == count - 1 ? office.authorities() : ImmutableList.of();
+          i == count - 1 ? ticketIssuer.authorities() : ImmutableList.of();
       parts.add(new RecordsPart(members.self().identity(), i, count, authorities, records));
     }
     return parts.build();
   }
 
-  private CompletableFuture<Optional<String>> handTo(
+  private CompletableFuture<Optional<String>> handOverTo(
       List<Member> candidates, int index, List<RecordsPart> parts) {
     if (index == candidates.size()) {
       return CompletableFuture.completedFuture(Optional.empty());
     }
     Member successor = candidates.get(index);
     return Async.compose(
-        sendFrom(successor, parts, 0),
+        sendParts(successor, parts, 0),
         (done, failure) -> {
           if (failure == null) {
             EventLog.info(
                 Event.RECORDS_HANDED_OVER, "to", successor.identity(), "parts", parts.size());
             return CompletableFuture.completedFuture(Optional.of(successor.identity()));
           }
-          // Another may take them only if it is sure that this one did not: else two nodes
-          // would each believe that they alone may run.
-          boolean surelyNot = failure instanceof PeerException peer && !peer.mayHaveArrived();
-          return surelyNot
-              ? handTo(candidates, index + 1, parts)
+          // Try another node only if this one certainly has not accepted the records. Otherwise
+          // two nodes could both run the same request.
+          boolean certainlyNotReceived =
+              failure instanceof PeerException peer && !peer.mayHaveArrived();
+          return certainlyNotReceived
+              ? handOverTo(candidates, index + 1, parts)
               : CompletableFuture.completedFuture(Optional.empty());
         });
   }
 
-  private CompletableFuture<Void> sendFrom(Member successor, List<RecordsPart> parts, int part) {
-    return link.ask(successor.address(), new HandOver(parts.get(part)), HAND_OVER_LIMIT)
+  private CompletableFuture<Void> sendParts(Member successor, List<RecordsPart> parts, int part) {
+    return link.ask(successor.address(), new HandOver(parts.get(part)), HAND_OVER_TIMEOUT)
         .thenCompose(
             reply -> {
               if (!(reply instanceof Accepted)) {
                 return CompletableFuture.failedFuture(
-                    PeerException.unanswered("records not taken: " + reply));
+                    PeerException.unanswered("records not accepted: " + reply));
               }
               return part + 1 == parts.size()
                   ? CompletableFuture.completedFuture(null)
-                  : sendFrom(successor, parts, part + 1);
+                  : sendParts(successor, parts, part + 1);
             });
   }
 
-  /** Takes part of a leaving node's records; all take effect together with the last. */
-  PeerMessage take(HandOver message) {
+  /** Receives one part of a stopping node's records; they take effect with the last part. */
+  PeerMessage receive(HandOver message) {
     RecordsPart part = message.part();
-    Map<Integer, RecordsPart> whole;
+    Map<Integer, RecordsPart> allParts;
     synchronized (this) {
-      whole = arriving.computeIfAbsent(part.from(), from -> new HashMap<>());
-      whole.put(part.part(), part);
+      allParts = receivedParts.computeIfAbsent(part.from(), from -> new HashMap<>());
+      allParts.put(part.part(), part);
       if (part.part() + 1 < part.parts()) {
         return new Accepted();
       }
-      arriving.remove(part.from());
+      receivedParts.remove(part.from());
     }
-    if (whole.size() != part.parts()) {
-      return new PeerMessage.Failed("got " + whole.size() + " of " + part.parts() + " parts");
+    if (allParts.size() != part.parts()) {
+      return new PeerMessage.Failed("got " + allParts.size() + " of " + part.parts() + " parts");
     }
-    whole.values().forEach(each -> book.adopt(each.records()));
-    part.authorities().forEach(office::adopt);
+    allParts.values().forEach(each -> records.addAll(each.records()));
+    part.authorities().forEach(ticketIssuer::addAuthority);
     return new Accepted();
   }
 
-  /** Returns how many records are held. */
-  int records() {
-    return book.size();
+  /** Returns the number of records. */
+  int recordCount() {
+    return records.size();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/RequestGate.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/RequestDispatcher.java
@@ -32,72 +32,72 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * Takes callers' requests, checks them against the configuration and has them run.
+ * The entry point for callers' requests: validates them against the configuration and runs them.
  *
- * <p>Every refusal is counted here, once. Thread-safe.
+ * <p>Counts every refusal exactly once in the metrics. Thread-safe.
  */
-public final class RequestGate {
+public final class RequestDispatcher {
   private final Lifecycle lifecycle;
-  private final ConfigurationBoard board;
+  private final ConfigurationBoard configuration;
   private final PipelineDriver driver;
   private final ServiceRouter services;
   private final Counters counters;
   private final OnceService once;
 
-  RequestGate(
+  RequestDispatcher(
       Lifecycle lifecycle,
-      ConfigurationBoard board,
+      ConfigurationBoard configuration,
       PipelineDriver driver,
       ServiceRouter services,
       Counters counters,
-      Function<OnceStarter, OnceService> onceMaker) {
+      Function<OnceStarter, OnceService> onceServiceFactory) {
     this.lifecycle = checkNotNull(lifecycle);
-    this.board = checkNotNull(board);
+    this.configuration = checkNotNull(configuration);
     this.driver = checkNotNull(driver);
     this.services = checkNotNull(services);
     this.counters = checkNotNull(counters);
-    this.once = onceMaker.apply(this::startOnce);
+    this.once = onceServiceFactory.apply(this::startOnce);
   }
 
   /**
    * Starts a completion.
    *
-   * @param sink takes the answer; may be called before this returns
-   * @return cancels the request when run, for a caller that is gone; a request under a ticket or
-   *     key goes on, so that the caller can ask for its answer again
+   * @param sink receives the answer; may be called before this method returns
+   * @return a task that cancels the request, to be run when the caller disconnects; it does not
+   *     cancel a request with a ticket or key, whose answer the caller can request again
    */
   public Runnable complete(
       String workspace, CompletionBody body, CallerOptions options, AnswerSink sink) {
     counters.count(Metric.REQUESTS, "completion");
-    Optional<Refusal> closed = enter(options);
-    if (closed.isPresent()) {
-      sink.failed(closed.get());
+    Optional<Refusal> refusal = enter(options);
+    if (refusal.isPresent()) {
+      sink.failed(refusal.get());
       return () -> {};
     }
-    AnswerSink counted = countedOut(sink);
+    AnswerSink countingSink = countingSink(sink);
     if (runsOnce(options)) {
-      completeOnce(workspace, body, options, counted);
+      completeOnce(workspace, body, options, countingSink);
       return () -> {};
     }
     try {
-      return driver.run(checked(workspace, body, options), counted);
+      return driver.run(validated(workspace, body, options), countingSink);
     } catch (RefusalException e) {
-      counted.failed(e.refusal());
+      countingSink.failed(e.refusal());
       return () -> {};
     }
   }
 
   /**
-   * Counts a request in, or says why it can't be taken.
+   * Counts a request as in flight, or returns the refusal if the node accepts none.
    *
-   * <p>Under a ticket or key the verdict speaks of every attempt, and this node can't know what
-   * became of the others.
+   * <p>The verdict on a request with a ticket or key covers all its attempts, including those on
+   * other nodes, so a refusal on this node does not prove that the request did not run.
    */
   private Optional<Refusal> enter(CallerOptions options) {
-    Optional<Refusal> closed =
-        lifecycle.enter().map(why -> runsOnce(options) ? why.withoutProof() : why);
-    closed.ifPresent(this::count);
-    return closed;
+    Optional<Refusal> refusal =
+        lifecycle.enter().map(refused -> runsOnce(options) ? refused.withoutProof() : refused);
+    refusal.ifPresent(this::count);
+    return refusal;
   }
 
   private static boolean runsOnce(CallerOptions options) {
@@ -105,13 +105,13 @@
   }
 
   private void completeOnce(
-      String workspace, CompletionBody body, CallerOptions options, AnswerSink counted) {
-    OnceDelivery delivery = new OnceDelivery(counted);
+      String workspace, CompletionBody body, CallerOptions options, AnswerSink countingSink) {
+    OnceDelivery delivery = new OnceDelivery(countingSink);
     OnceWork work = new OnceWork.Completion(body.prompt(), body.maxTokens());
-    Async.ignore(once.submit(workspace, work, options, delivery).thenAccept(delivery::end));
+    Async.ignore(once.submit(workspace, work, options, delivery).thenAccept(delivery::finish));
   }
 
-  /** Runs a request that its record allows to run now. */
+  /** Runs a request that its record allows to run. */
   private CompletableFuture<OnceOutcome> startOnce(OnceRequest request, AnswerSink live) {
     CallerOptions options =
         new CallerOptions(
@@ -127,7 +127,7 @@
     ServiceCall serviceCall =
         new ServiceCall(call.method(), call.path(), call.body(), request.recordId());
     return Async.compose(
-        checkedCall(request.workspace(), call.service(), serviceCall, options),
+        callValidated(request.workspace(), call.service(), serviceCall, options),
         (reply, failure) ->
             CompletableFuture.completedFuture(
                 failure == null
@@ -141,14 +141,14 @@
     CompletionBody body = new CompletionBody(completion.prompt(), completion.maxTokens());
     AnswerSink recording = new RecordingSink(live, outcome);
     try {
-      Runnable unused = driver.run(checked(workspace, body, options), recording);
+      Runnable unused = driver.run(validated(workspace, body, options), recording);
     } catch (RefusalException e) {
       recording.failed(e.refusal());
     }
     return outcome;
   }
 
-  /** Keeps a completion's tokens for its record. */
+  /** Forwards the tokens of a completion and collects them for its record. */
   private static final class RecordingSink implements AnswerSink {
     private final AnswerSink live;
     private final CompletableFuture<OnceOutcome> outcome;
@@ -176,7 +176,8 @@
     }
   }
 
-  private CompletionRequest checked(String workspace, CompletionBody body, CallerOptions options) {
+  private CompletionRequest validated(
+      String workspace, CompletionBody body, CallerOptions options) {
     WorkspacePlan plan = planOf(workspace);
     if (body.prompt().isEmpty()) {
       throw Refusal.before(Reason.INVALID_FIELD, "messages: must not be empty").toException();
@@ -196,13 +197,13 @@
   }
 
   private WorkspacePlan planOf(String workspace) {
-    return board
+    return configuration
         .snapshot()
         .plan(workspace)
         .orElseThrow(() -> Refusal.before(Reason.UNKNOWN_WORKSPACE, workspace).toException());
   }
 
-  private AnswerSink countedOut(AnswerSink sink) {
+  private AnswerSink countingSink(AnswerSink sink) {
     return new AnswerSink() {
       @Override
       public void token(String text) {
@@ -224,18 +225,18 @@
     };
   }
 
-  /** Calls a plain service of a workspace. */
+  /** Calls a plain service on behalf of a workspace. */
   public CompletableFuture<ServiceReply> call(
       String workspace, String service, ServiceCall call, CallerOptions options) {
     counters.count(Metric.REQUESTS, "service");
-    Optional<Refusal> closed = enter(options);
-    if (closed.isPresent()) {
-      return CompletableFuture.failedFuture(closed.get().toException());
+    Optional<Refusal> refusal = enter(options);
+    if (refusal.isPresent()) {
+      return CompletableFuture.failedFuture(refusal.get().toException());
     }
     return Async.compose(
         runsOnce(options)
             ? callOnce(workspace, service, call, options)
-            : checkedCall(workspace, service, call, options),
+            : callValidated(workspace, service, call, options),
         (reply, failure) -> {
           lifecycle.leave();
           if (failure == null) {
@@ -249,8 +250,8 @@
   private CompletableFuture<ServiceReply> callOnce(
       String workspace, String service, ServiceCall call, CallerOptions options) {
     OnceWork work = new OnceWork.Call(service, call.method(), call.path(), call.body());
-    return once.submit(workspace, work, options, new OnceDelivery(OnceService.NO_CALLER))
-        .thenCompose(RequestGate::replyOf);
+    return once.submit(workspace, work, options, new OnceDelivery(OnceService.DISCARDING_SINK))
+        .thenCompose(RequestDispatcher::replyOf);
   }
 
   private static CompletableFuture<ServiceReply> replyOf(OnceOutcome outcome) {
@@ -264,26 +265,26 @@
     return CompletableFuture.failedFuture(refusal.toException());
   }
 
-  private CompletableFuture<ServiceReply> checkedCall(
+  private CompletableFuture<ServiceReply> callValidated(
       String workspace, String service, ServiceCall call, CallerOptions options) {
     try {
       ServiceSpec spec =
           planOf(workspace)
               .service(service)
               .orElseThrow(() -> Refusal.before(Reason.UNKNOWN_SERVICE, service).toException());
-      boolean byRule = spec.repeatable(call.method(), call.path());
-      boolean repeatable = byRule && options.repeatable().orElse(true);
+      boolean repeatableByRule = spec.repeatable(call.method(), call.path());
+      boolean repeatable = repeatableByRule && options.repeatable().orElse(true);
       return services.call(service, call, repeatable, options.deadline());
     } catch (RefusalException e) {
       return CompletableFuture.failedFuture(e);
     }
   }
 
-  /** Issues tickets, or refuses while the node does not take requests. */
+  /** Issues the given number of tickets; fails with a refusal if the node accepts no requests. */
   public CompletableFuture<ImmutableList<String>> tickets(int count) {
-    Optional<Refusal> closed = enter(CallerOptions.NONE);
-    if (closed.isPresent()) {
-      return CompletableFuture.failedFuture(closed.get().toException());
+    Optional<Refusal> refusal = enter(CallerOptions.NONE);
+    if (refusal.isPresent()) {
+      return CompletableFuture.failedFuture(refusal.get().toException());
     }
     try {
       return CompletableFuture.completedFuture(once.issue(count));
@@ -292,12 +293,12 @@
     }
   }
 
-  /** Serves a request that a peer sent here because this node alone may run it. */
+  /** Handles a request that a peer forwarded because only this node may run it. */
   CompletableFuture<PeerMessage> serve(RunOnce message) {
-    Optional<Refusal> closed = lifecycle.enter();
-    if (closed.isPresent()) {
+    Optional<Refusal> refusal = lifecycle.enter();
+    if (refusal.isPresent()) {
       return CompletableFuture.completedFuture(
-          new OnceReply(new OnceOutcome.Refused(closed.get().withoutProof())));
+          new OnceReply(new OnceOutcome.Refused(refusal.get().withoutProof())));
     }
     return Async.compose(
         once.serve(message),
@@ -309,12 +310,12 @@
         });
   }
 
-  /** Returns what runs requests at most once. */
+  /** Returns the service that runs requests at most once. */
   OnceService once() {
     return once;
   }
 
-  /** Counts a refusal that the transport made before a request got here. */
+  /** Counts a refusal that the transport layer issued before it dispatched the request. */
   public void count(Refusal refusal) {
     counters.count(Metric.REFUSALS, refusal.reason().code());
     counters.count(Metric.VERDICTS, refusal.verdict().name());
--- a/vaneworks/src/main/java/org/vaneworks/coordination/RequestWiring.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/RequestWiring.java
@@ -5,14 +5,14 @@
 import org.vaneworks.coordination.admission.AdmissionControl;
 import org.vaneworks.coordination.admission.AdmissionCost;
 import org.vaneworks.coordination.admission.AdmissionPolicy;
-import org.vaneworks.coordination.admission.PaceLimit;
+import org.vaneworks.coordination.admission.ConcurrencyLimit;
 import org.vaneworks.coordination.configuration.ConfigurationBoard;
 import org.vaneworks.coordination.endpoints.EndpointTable;
 import org.vaneworks.coordination.membership.MemberTable;
-import org.vaneworks.coordination.once.OnceBook;
 import org.vaneworks.coordination.once.OnceLimits;
+import org.vaneworks.coordination.once.OnceRecordTable;
 import org.vaneworks.coordination.once.OnceStarter;
-import org.vaneworks.coordination.once.TicketOffice;
+import org.vaneworks.coordination.once.TicketIssuer;
 import org.vaneworks.coordination.pipeline.PipelineContext;
 import org.vaneworks.coordination.pipeline.PipelineDriver;
 import org.vaneworks.coordination.pipeline.RetryBudget;
@@ -22,41 +22,44 @@
 import org.vaneworks.coordination.routing.RoutingSettings;
 import org.vaneworks.coordination.store.PlatformStore;
 
-/** Puts together what requests pass through: routing, admission, pipelines, services, records. */
+/** Creates the components that handle requests: routing, admission, pipelines and services. */
 final class RequestWiring {
-  /** Retries saved up at most; lets a quiet node get over a short disturbance. */
+  /** Maximum retries held in the budget; lets a node with little traffic survive a short outage. */
   private static final int RETRY_RESERVE = 20;
 
   private final NodeSettings settings;
-  private final NodeOutside outside;
+  private final NodeDependencies dependencies;
   private final EndpointTable table;
   private final IntSupplier nodes;
-  private final PaceLimit.Table pace;
+  private final ConcurrencyLimit.Table concurrencyLimits;
 
   RequestWiring(
-      NodeSettings settings, NodeOutside outside, EndpointTable table, IntSupplier nodes) {
+      NodeSettings settings,
+      NodeDependencies dependencies,
+      EndpointTable table,
+      IntSupplier nodes) {
     this.settings = settings;
-    this.outside = outside;
+    this.dependencies = dependencies;
     this.table = table;
     this.nodes = nodes;
-    this.pace =
+    this.concurrencyLimits =
         settings.limits().routing().admission() == RoutingSettings.AdmissionKind.WITHIN_BOUNDS
-            ? PaceLimit.Table.adaptive(outside.executor())
-            : PaceLimit.Table.unlimited(outside.executor());
+            ? ConcurrencyLimit.Table.adaptive(dependencies.executor())
+            : ConcurrencyLimit.Table.unlimited(dependencies.executor());
   }
 
   AdmissionControl admission(RoutePlanner planner) {
     return AdmissionControl.create(
-        outside.executor(), planner, admissionPolicy(), cost(), pace, nodes);
+        dependencies.executor(), planner, admissionPolicy(), cost(), concurrencyLimits, nodes);
   }
 
   RoutePlanner planner() {
-    return RoutePlanner.create(table, policy());
+    return RoutePlanner.create(table, routePolicy());
   }
 
-  RequestGate gate(
+  RequestDispatcher dispatcher(
       Lifecycle lifecycle,
-      ConfigurationBoard board,
+      ConfigurationBoard configuration,
       RoutePlanner planner,
       AdmissionControl admission,
       PlatformStore store,
@@ -64,48 +67,55 @@
     RetryBudget retries = RetryBudget.of(settings.limits().routing().retryShare(), RETRY_RESERVE);
     PipelineContext context =
         new PipelineContext(
-            outside.executor(),
-            outside.endpoints(),
+            dependencies.executor(),
+            dependencies.endpoints(),
             table,
             planner,
             admission,
             retries,
             settings.limits().streams(),
-            outside.counters());
-    PipelineDriver driver = PipelineDriver.create(context, settings.identity(), outside.random());
+            dependencies.counters());
+    PipelineDriver driver =
+        PipelineDriver.create(context, settings.identity(), dependencies.random());
     ServiceRouter services =
         ServiceRouter.create(
-            outside.executor(),
+            dependencies.executor(),
             table,
-            outside.endpoints(),
+            dependencies.endpoints(),
             retries,
-            outside.counters(),
-            outside.random());
-    return new RequestGate(
+            dependencies.counters(),
+            dependencies.random());
+    return new RequestDispatcher(
         lifecycle,
-        board,
+        configuration,
         driver,
         services,
-        outside.counters(),
+        dependencies.counters(),
         starter -> once(starter, store, members));
   }
 
   private OnceService once(OnceStarter starter, PlatformStore store, MemberTable members) {
     OnceLimits limits = settings.limits().once();
     return new OnceService(
-        outside.executor(),
-        new OnceBook(outside.executor(), limits),
-        new TicketOffice(outside.executor(), limits, settings.identity(), settings.ticketSecret()),
-        new ClaimDesk(
-            outside.executor(), store, outside.claimFormat(), limits, members, outside.peers()),
+        dependencies.executor(),
+        new OnceRecordTable(dependencies.executor(), limits),
+        new TicketIssuer(
+            dependencies.executor(), limits, settings.identity(), settings.ticketSecret()),
+        new ClaimService(
+            dependencies.executor(),
+            store,
+            dependencies.claimFormat(),
+            limits,
+            members,
+            dependencies.peers()),
         members,
-        outside.peers(),
+        dependencies.peers(),
         starter,
-        outside.counters());
+        dependencies.counters());
   }
 
-  private RoutePolicy policy() {
-    Random random = outside.random();
+  private RoutePolicy routePolicy() {
+    Random random = dependencies.random();
     return switch (settings.limits().routing().policy()) {
       case PREDICTED_TIME -> RoutePolicies.predictedTime(random);
       case RANDOM -> RoutePolicies.random(random);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/ServiceRouter.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/ServiceRouter.java
@@ -28,13 +28,13 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * Sends calls to plain services.
+ * Routes calls to the endpoints of plain services.
  *
- * <p>A call goes to another endpoint after a failure only if it is known not to have run or may be
- * repeated, and within the retry budget. Thread-safe.
+ * <p>A failed call is retried on another endpoint only if it certainly did not run or is
+ * repeatable, and if the retry budget allows it. Thread-safe.
  */
 public final class ServiceRouter {
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(10);
+  private static final Duration MAX_CALL_DURATION = Duration.ofSeconds(10);
   private static final int MAX_ATTEMPTS = 3;
 
   private final Executor executor;
@@ -59,7 +59,7 @@
     this.random = checkNotNull(random);
   }
 
-  /** Returns a router over the table's plain services. */
+  /** Creates a router for the plain services in the table. */
   public static ServiceRouter create(
       Executor executor,
       EndpointTable table,
@@ -73,19 +73,20 @@
   /**
    * Sends a call.
    *
-   * @param repeatable whether it may run more than once
-   * @param limit how long it may take in all
+   * @param repeatable whether the call may run more than once
+   * @param limit how long the call may take, including retries
    * @return the answer, or a failure that carries a refusal
    */
   public CompletableFuture<ServiceReply> call(
       String service, ServiceCall call, boolean repeatable, Optional<Duration> limit) {
-    retries.earn();
-    Duration bounded = limit.filter(given -> given.compareTo(CALL_LIMIT) < 0).orElse(CALL_LIMIT);
-    RefusalException late =
-        Refusal.mayHaveRun(Reason.DEADLINE, "service " + service + " did not answer in " + bounded)
+    retries.deposit();
+    Duration timeout =
+        limit.filter(given -> given.compareTo(MAX_CALL_DURATION) < 0).orElse(MAX_CALL_DURATION);
+    RefusalException timeoutException =
+        Refusal.mayHaveRun(Reason.DEADLINE, "service " + service + " did not answer in " + timeout)
             .toException();
     return Async.within(
-        executor, bounded, attempt(service, call, repeatable, new HashSet<>()), late);
+        executor, timeout, attempt(service, call, repeatable, new HashSet<>()), timeoutException);
   }
 
   private CompletableFuture<ServiceReply> attempt(
@@ -105,40 +106,43 @@
         (reply, failure) -> {
           endpoint.streamEnded();
           if (failure != null) {
-            return afterFailure(service, call, repeatable, tried, endpoint, failure);
+            return retryOrFail(service, call, repeatable, tried, endpoint, failure);
           }
           endpoint.workAnswered();
           return CompletableFuture.completedFuture(reply);
         });
   }
 
-  private CompletableFuture<ServiceReply> afterFailure(
+  private CompletableFuture<ServiceReply> retryOrFail(
       String service,
       ServiceCall call,
       boolean repeatable,
       Set<EndpointId> tried,
       EndpointState endpoint,
       Throwable failure) {
-    Refusal why = RefusalException.refusalOf(failure);
-    if (why.reason() != Reason.ENDPOINT_OVERLOADED) {
-      table.eject(endpoint, why.verdict() == Verdict.NOT_RUN ? "refused" : "lost");
+    Refusal refusal = RefusalException.refusalOf(failure);
+    if (refusal.reason() != Reason.ENDPOINT_OVERLOADED) {
+      table.eject(endpoint, refusal.verdict() == Verdict.NOT_RUN ? "refused" : "lost");
     }
-    boolean mayRepeat = repeatable || why.verdict() == Verdict.NOT_RUN;
-    boolean another = choose(service, tried).isPresent();
-    if (!mayRepeat || !another || tried.size() >= MAX_ATTEMPTS || !retries.spend()) {
-      return CompletableFuture.failedFuture(why.toException());
+    boolean mayRepeat = repeatable || refusal.verdict() == Verdict.NOT_RUN;
+    boolean hasAlternative = choose(service, tried).isPresent();
+    if (!mayRepeat || !hasAlternative || tried.size() >= MAX_ATTEMPTS || !retries.tryWithdraw()) {
+      return CompletableFuture.failedFuture(refusal.toException());
     }
     counters.count(Metric.RETRIES, "service");
     return Async.compose(
         attempt(service, call, repeatable, tried),
-        (reply, again) ->
-            again == null
+        (reply, retryFailure) ->
+            retryFailure == null
                 ? CompletableFuture.completedFuture(reply)
-                : CompletableFuture.failedFuture(weaker(why, again)));
+                : CompletableFuture.failedFuture(combined(refusal, retryFailure)));
   }
 
-  /** What may be said of all attempts together: not more than of the first. */
-  private static RefusalException weaker(Refusal first, Throwable second) {
+  /**
+   * Returns the refusal of the last attempt, weakened if its verdict claims more than is known of
+   * all attempts together.
+   */
+  private static RefusalException combined(Refusal first, Throwable second) {
     Refusal last = RefusalException.refusalOf(second);
     if (first.verdict().and(last.verdict()) == last.verdict()) {
       return last.toException();
@@ -152,9 +156,9 @@
             .filter(state -> !state.endpoint().isEngine())
             .filter(state -> !tried.contains(state.endpoint().id()))
             .collect(ImmutableList.toImmutableList());
-    ImmutableList<EndpointState> usable = only(untried, EndpointState::isUsable);
+    ImmutableList<EndpointState> usable = filter(untried, EndpointState::isUsable);
     if (usable.isEmpty()) {
-      usable = only(untried, EndpointState::isLastResort);
+      usable = filter(untried, EndpointState::isLastResort);
     }
     if (usable.isEmpty()) {
       return Optional.empty();
@@ -166,7 +170,7 @@
     return rotated.build().stream().min(Comparator.comparingInt(EndpointState::inFlight));
   }
 
-  private static ImmutableList<EndpointState> only(
+  private static ImmutableList<EndpointState> filter(
       ImmutableList<EndpointState> states, Predicate<EndpointState> test) {
     return states.stream().filter(test).collect(ImmutableList.toImmutableList());
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/StopTimes.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/StopTimes.java
@@ -5,22 +5,22 @@
 import java.time.Duration;
 
 /**
- * How long the parts of a planned stop take.
+ * Durations of the steps of a planned stop.
  *
- * @param balancerLag how long the balancer may still send requests after readiness ended
- * @param deadline after which requests in flight are cut
+ * @param balancerLag how long the load balancer may send requests after the node became not ready
+ * @param deadline maximum duration of the stop, after which requests in flight are aborted
  */
 public record StopTimes(Duration balancerLag, Duration deadline) {
-  /** Checks the order. */
+  /** Checks that the balancer lag is within the deadline. */
   public StopTimes {
     checkArgument(
         balancerLag.compareTo(deadline) <= 0,
-        "balancerLag %s must not be over the deadline %s",
+        "balancerLag %s must not exceed the deadline %s",
         balancerLag,
         deadline);
   }
 
-  /** Returns what holds unless settings say otherwise. */
+  /** Returns the default durations. */
   public static StopTimes defaults() {
     return new StopTimes(Duration.ofSeconds(5), Duration.ofSeconds(120));
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/admission/Admission.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/admission/Admission.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.vaneworks.coordination.routing.RoutePlanner.PlannedRoute;
 
-/** The right to run one request on a route; to be released exactly once. */
+/** A permit to run one request on a route. The holder must release it when the request ends. */
 public final class Admission {
   private final PlannedRoute route;
   private final Runnable release;
@@ -14,12 +14,16 @@
     this.release = release;
   }
 
-  /** Returns the route, on whose engines the stream is counted already. */
+  /** Returns the planned route. Its engines already count the stream as in flight. */
   public PlannedRoute route() {
     return route;
   }
 
-  /** Ends the right; later calls do nothing. The engines' counts are the stream's to end. */
+  /**
+   * Releases the permit; later calls have no effect.
+   *
+   * <p>Does not decrement the in-flight counts of the engines, which the stream itself maintains.
+   */
   public void release() {
     if (released.compareAndSet(false, true)) {
       release.run();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionControl.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionControl.java
@@ -25,109 +25,113 @@
 import org.vaneworks.state.Refusal;
 
 /**
- * Decides when a request may start, and refuses at once what could not keep its bounds.
+ * Decides when a request may start, and refuses requests that could not meet their latency bounds.
  *
- * <p>Requests that can't start at once wait in a bounded queue with weighted fair sharing over
- * workspaces. A request whose predicted first token would miss its bound is refused without waiting
- * for that to happen. Thread-safe; futures are completed with no lock held.
+ * <p>Requests that can't start immediately wait in a bounded queue, shared between workspaces by
+ * weighted fair queueing. A request whose predicted wait exceeds its bound on the first token is
+ * refused immediately rather than after a timeout. Thread-safe; futures are completed without
+ * holding the lock.
  */
 public final class AdmissionControl {
-  /** How often a queue is looked at while requests wait and nothing else happens. */
-  private static final Duration RECHECK = Duration.ofMillis(10);
+  /** Interval between checks of the queues while requests wait and no other event triggers one. */
+  private static final Duration RECHECK_INTERVAL = Duration.ofMillis(10);
 
-  /** How many workspaces' first requests are tried before giving up for now. */
-  private static final int HEADS_TRIED = 4;
+  /** Number of flows whose first request is tried in one check, in service order. */
+  private static final int MAX_CANDIDATES = 4;
 
-  private static final double GRANT_FADE = 0.9;
-  private static final Duration LEAST_RETRY_AFTER = Duration.ofMillis(100);
+  /** Weight of the old average in the moving average of the interval between grants. */
+  private static final double GRANT_INTERVAL_DECAY = 0.9;
+
+  private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(100);
 
   private final Executor executor;
   private final RoutePlanner planner;
   private final AdmissionPolicy policy;
   private final AdmissionCost cost;
-  private final PaceLimit.Table pace;
+  private final ConcurrencyLimit.Table concurrencyLimits;
   private final IntSupplier nodes;
 
   @GuardedBy("this")
-  private final Map<String, FairQueue> queues = new HashMap<>();
+  private final Map<String, FairQueue> queuesByModel = new HashMap<>();
 
   @GuardedBy("this")
-  private final Map<String, Integer> inFlight = new HashMap<>();
+  private final Map<String, Integer> inFlightByWorkspace = new HashMap<>();
 
   @GuardedBy("this")
-  private final Map<String, Integer> weights = new HashMap<>();
+  private final Map<String, Integer> weightsByWorkspace = new HashMap<>();
 
   @GuardedBy("this")
-  private final Map<String, Integer> streams = new HashMap<>();
+  private final Map<String, Integer> streamsByModel = new HashMap<>();
 
+  /** Moving average of the interval between grants, in milliseconds; 0 before the first. */
   @GuardedBy("this")
-  private double grantMillis;
+  private double grantIntervalMillis;
 
   @GuardedBy("this")
   private long lastGrant;
 
   @GuardedBy("this")
-  private boolean recheckPlanned;
+  private boolean recheckScheduled;
 
   private AdmissionControl(
       Executor executor,
       RoutePlanner planner,
       AdmissionPolicy policy,
       AdmissionCost cost,
-      PaceLimit.Table pace,
+      ConcurrencyLimit.Table concurrencyLimits,
       IntSupplier nodes) {
     this.executor = checkNotNull(executor);
     this.planner = checkNotNull(planner);
     this.policy = checkNotNull(policy);
     this.cost = checkNotNull(cost);
-    this.pace = checkNotNull(pace);
+    this.concurrencyLimits = checkNotNull(concurrencyLimits);
     this.nodes = checkNotNull(nodes);
   }
 
   /**
-   * Returns admission with empty queues.
+   * Creates an instance with empty queues.
    *
-   * @param nodes how many nodes share the workspaces' limits
+   * @param nodes number of nodes among which the limits of a workspace are divided
    */
   public static AdmissionControl create(
       Executor executor,
       RoutePlanner planner,
       AdmissionPolicy policy,
       AdmissionCost cost,
-      PaceLimit.Table pace,
+      ConcurrencyLimit.Table concurrencyLimits,
       IntSupplier nodes) {
-    return new AdmissionControl(executor, planner, policy, cost, pace, nodes);
+    return new AdmissionControl(executor, planner, policy, cost, concurrencyLimits, nodes);
   }
 
   /**
-   * Asks to start a request.
+   * Requests a permit to start a request; queues the request if it can't start immediately.
    *
-   * @return the admission, with the stream counted on the route's engines; or a failure that
-   *     carries a refusal with verdict {@code NOT_RUN}
+   * @return the permit, with the stream counted as in flight on the engines of the route; or a
+   *     failure that carries a refusal with verdict {@code NOT_RUN}
    */
   public CompletableFuture<Admission> admit(CompletionRequest request, RouteQuery query) {
-    Waiting waiting = new Waiting(request, query, now());
+    QueuedRequest queued = new QueuedRequest(request, query, now());
     Optional<Refusal> refusal;
     Optional<Admission> granted = Optional.empty();
     synchronized (this) {
-      refusal = refusalAtOnce(waiting);
+      refusal = checkWorkspaceLimit(queued);
       if (refusal.isEmpty()) {
-        granted = queueOf(query).size() == 0 ? tryGrant(waiting) : Optional.empty();
+        granted = queueFor(query).size() == 0 ? tryGrant(queued) : Optional.empty();
         if (granted.isEmpty()) {
-          refusal = enqueue(waiting);
+          refusal = enqueue(queued);
         }
       }
     }
-    refusal.ifPresent(why -> waiting.outcome().completeExceptionally(why.toException()));
-    granted.ifPresent(waiting.outcome()::complete);
-    return waiting.outcome();
+    refusal.ifPresent(refused -> queued.outcome().completeExceptionally(refused.toException()));
+    granted.ifPresent(queued.outcome()::complete);
+    return queued.outcome();
   }
 
   /**
-   * Withdraws a request that still waits, for a caller that is gone.
+   * Cancels a queued request whose caller disconnected.
    *
-   * @return false if it was admitted or refused before; then the admission is the caller's to
-   *     release
+   * @return false if the request was already admitted or refused; an admission must then still be
+   *     released by the caller of this method
    */
   @CanIgnoreReturnValue
   public boolean withdraw(CompletableFuture<Admission> outcome) {
@@ -135,39 +139,39 @@
     return outcome.completeExceptionally(gone.toException());
   }
 
-  /** Looks at the queues again, for example after an endpoint was found. */
+  /** Grants the queued requests that can start now, for example after an endpoint was found. */
   public void recheck() {
     List<Runnable> outcomes = new ArrayList<>();
     synchronized (this) {
-      queues.values().forEach(queue -> drain(queue, outcomes));
-      planRecheck();
+      queuesByModel.values().forEach(queue -> drain(queue, outcomes));
+      scheduleRecheck();
     }
     outcomes.forEach(Runnable::run);
   }
 
-  /** Takes whether a token of a model came within its bound. */
-  public void tokenCame(String model, boolean late) {
+  /** Records whether a token of a model missed its bound on the time between tokens. */
+  public void recordToken(String model, boolean late) {
     int running;
     synchronized (this) {
-      running = streams.getOrDefault(model, 0);
+      running = streamsByModel.getOrDefault(model, 0);
     }
-    pace.of(model).observe(late, running);
+    concurrencyLimits.of(model).observe(late, running);
   }
 
   @GuardedBy("this")
-  private FairQueue queueOf(RouteQuery query) {
-    return queues.computeIfAbsent(query.model(), model -> new FairQueue(cost));
+  private FairQueue queueFor(RouteQuery query) {
+    return queuesByModel.computeIfAbsent(query.model(), model -> new FairQueue(cost));
   }
 
   @GuardedBy("this")
-  private Optional<Refusal> refusalAtOnce(Waiting waiting) {
-    CompletionRequest request = waiting.request();
+  private Optional<Refusal> checkWorkspaceLimit(QueuedRequest queued) {
+    CompletionRequest request = queued.request();
     String workspace = request.plan().workspace();
     int total = request.plan().maxInFlight();
     int share = IntMath.divide(total, Math.max(1, nodes.getAsInt()), RoundingMode.CEILING);
-    FairQueue queue = queueOf(waiting.query());
-    int mine = inFlight.getOrDefault(workspace, 0) + queue.waitingOf(workspace);
-    if (mine >= share) {
+    FairQueue queue = queueFor(queued.query());
+    int occupied = inFlightByWorkspace.getOrDefault(workspace, 0) + queue.waitingCount(workspace);
+    if (occupied >= share) {
       return Optional.of(
           Refusal.before(
                   Reason.WORKSPACE_LIMIT,
@@ -177,69 +181,70 @@
     return Optional.empty();
   }
 
-  /** Takes the request into the queue, or says why it would be of no use. */
+  /** Queues the request, or returns the refusal if it could not start in time. */
   @GuardedBy("this")
-  private Optional<Refusal> enqueue(Waiting waiting) {
-    CompletionRequest request = waiting.request();
-    FairQueue queue = queueOf(waiting.query());
-    int ahead = queue.ahead(waiting.flow());
-    if (planner.plan(waiting.query()).isEmpty()) {
+  private Optional<Refusal> enqueue(QueuedRequest queued) {
+    CompletionRequest request = queued.request();
+    FairQueue queue = queueFor(queued.query());
+    int ahead = queue.countAhead(queued.flow());
+    if (planner.plan(queued.query()).isEmpty()) {
       return Optional.of(
           Refusal.before(
                   Reason.NO_ENDPOINT, "no live engines cover model " + request.plan().model())
               .withRetryAfter(Duration.ofSeconds(1)));
     }
-    if (queue.waitingOf(request.plan().workspace()) >= request.plan().maxQueue()) {
+    if (queue.waitingCount(request.plan().workspace()) >= request.plan().maxQueue()) {
       return Optional.of(
           Refusal.before(Reason.QUEUE_FULL, "limits.maxQueue is " + request.plan().maxQueue())
               .withRetryAfter(retryAfter(ahead)));
     }
-    Duration patience = patience(request);
+    Duration maxWait = maxWait(request);
     Duration predicted = predictedWait(ahead);
-    if (predicted.compareTo(patience) > 0) {
-      return Optional.of(tooLate(ahead, "the wait would be " + predicted.toMillis() + " ms"));
+    if (predicted.compareTo(maxWait) > 0) {
+      return Optional.of(
+          latencyRefusal(ahead, "the wait would be " + predicted.toMillis() + " ms"));
     }
     if (queue.size() == 0) {
       lastGrant = now();
     }
-    queue.add(waiting);
-    waiting.expiry(executor.schedule(() -> expire(waiting), patience));
-    planRecheck();
+    queue.add(queued);
+    queued.expiry(executor.schedule(() -> expire(queued), maxWait));
+    scheduleRecheck();
     return Optional.empty();
   }
 
-  /** How long a request may wait and still keep its bound. */
-  private static Duration patience(CompletionRequest request) {
+  /** Returns how long a request may wait in the queue without missing its latency bound. */
+  private static Duration maxWait(CompletionRequest request) {
     Duration bound = request.plan().firstToken();
     return request.deadline().filter(deadline -> deadline.compareTo(bound) < 0).orElse(bound);
   }
 
-  private void expire(Waiting waiting) {
-    Refusal late;
+  private void expire(QueuedRequest queued) {
+    Refusal refusal;
     synchronized (this) {
-      if (!queueOf(waiting.query()).remove(waiting)) {
+      if (!queueFor(queued.query()).remove(queued)) {
         return;
       }
-      int ahead = queueOf(waiting.query()).size();
-      late = tooLate(ahead, "it waited as long as its bound on the first token");
+      int ahead = queueFor(queued.query()).size();
+      refusal = latencyRefusal(ahead, "it waited as long as its bound on the first token");
     }
-    waiting.outcome().completeExceptionally(late.toException());
+    queued.outcome().completeExceptionally(refusal.toException());
   }
 
   @GuardedBy("this")
-  private Refusal tooLate(int ahead, String detail) {
+  private Refusal latencyRefusal(int ahead, String detail) {
     return Refusal.before(Reason.LATENCY_BOUND, detail).withRetryAfter(retryAfter(ahead));
   }
 
   @GuardedBy("this")
   private Duration predictedWait(int ahead) {
-    return Duration.ofNanos((long) ((ahead + 1) * grantMillis * 1e6));
+    return Duration.ofNanos((long) ((ahead + 1) * grantIntervalMillis * 1e6));
   }
 
   @GuardedBy("this")
   private Duration retryAfter(int ahead) {
     Duration predicted = predictedWait(ahead);
-    return predicted.compareTo(LEAST_RETRY_AFTER) > 0 ? predicted : LEAST_RETRY_AFTER;
+    return predicted.compareTo(MIN_RETRY_AFTER) > 0 ? predicted : MIN_RETRY_AFTER;
   }
 
   @GuardedBy("this")
@@ -248,99 +253,106 @@
     while (progress && queue.size() > 0) {
       progress = grantOne(queue, outcomes);
     }
-    queue.forgetIdle();
+    queue.removeIdleFlows();
   }
 
   @GuardedBy("this")
   private boolean grantOne(FairQueue queue, List<Runnable> outcomes) {
-    List<Waiting> heads = queue.heads();
-    for (Waiting head : heads.subList(0, Math.min(HEADS_TRIED, heads.size()))) {
-      if (head.outcome().isDone()) {
-        head.expiry().cancel();
-        return queue.remove(head);
+    List<QueuedRequest> firstRequests = queue.firstRequests();
+    for (QueuedRequest candidate :
+        firstRequests.subList(0, Math.min(MAX_CANDIDATES, firstRequests.size()))) {
+      if (candidate.outcome().isDone()) {
+        candidate.expiry().cancel();
+        return queue.remove(candidate);
       }
-      Optional<Admission> granted = tryGrant(head);
+      Optional<Admission> granted = tryGrant(candidate);
       if (granted.isPresent()) {
-        queue.serve(head);
-        head.expiry().cancel();
-        measureGrant();
-        outcomes.add(() -> hand(head, granted.get()));
+        queue.serve(candidate);
+        candidate.expiry().cancel();
+        recordGrant();
+        outcomes.add(() -> deliver(candidate, granted.get()));
         return true;
       }
     }
     return false;
   }
 
-  private static void hand(Waiting waiting, Admission admission) {
-    if (!waiting.outcome().complete(admission)) {
+  private static void deliver(QueuedRequest queued, Admission admission) {
+    if (!queued.outcome().complete(admission)) {
       admission.route().engines().forEach(EndpointState::streamEnded);
       admission.release();
     }
   }
 
   @GuardedBy("this")
-  private void measureGrant() {
+  private void recordGrant() {
     double millis = (now() - lastGrant) / 1e6;
     lastGrant = now();
-    grantMillis = grantMillis == 0 ? millis : GRANT_FADE * grantMillis + (1 - GRANT_FADE) * millis;
+    grantIntervalMillis =
+        grantIntervalMillis == 0
+            ? millis
+            : GRANT_INTERVAL_DECAY * grantIntervalMillis + (1 - GRANT_INTERVAL_DECAY) * millis;
   }
 
   @GuardedBy("this")
-  private Optional<Admission> tryGrant(Waiting waiting) {
-    String model = waiting.query().model();
-    int own = inFlight.getOrDefault(waiting.flow().workspace(), 0);
-    if (!pace.of(model).allows(streams.getOrDefault(model, 0), own, shareOf(waiting))) {
+  private Optional<Admission> tryGrant(QueuedRequest queued) {
+    String model = queued.query().model();
+    int own = inFlightByWorkspace.getOrDefault(queued.flow().workspace(), 0);
+    if (!concurrencyLimits
+        .of(model)
+        .allows(streamsByModel.getOrDefault(model, 0), own, weightedShare(queued))) {
       return Optional.empty();
     }
-    Optional<PlannedRoute> planned = planner.plan(waiting.query());
-    Duration waited = Duration.ofNanos(now() - waiting.since());
-    if (planned.isEmpty() || !policy.admits(planned.get(), waiting.query(), waited)) {
+    Optional<PlannedRoute> planned = planner.plan(queued.query());
+    Duration waited = Duration.ofNanos(now() - queued.queuedAt());
+    if (planned.isEmpty() || !policy.admits(planned.get(), queued.query(), waited)) {
       return Optional.empty();
     }
-    String workspace = waiting.request().plan().workspace();
+    String workspace = queued.request().plan().workspace();
     planned.get().engines().forEach(EndpointState::streamStarted);
-    inFlight.merge(workspace, 1, Integer::sum);
-    weights.put(workspace, waiting.request().plan().weight());
-    streams.merge(model, 1, Integer::sum);
-    return Optional.of(new Admission(planned.get(), () -> released(workspace, model)));
+    inFlightByWorkspace.merge(workspace, 1, Integer::sum);
+    weightsByWorkspace.put(workspace, queued.request().plan().weight());
+    streamsByModel.merge(model, 1, Integer::sum);
+    return Optional.of(new Admission(planned.get(), () -> onReleased(workspace, model)));
   }
 
-  /** The share by weight of a request's workspace among those that have streams now. */
+  /** Returns the share by weight, 0 to 1, of the request's workspace among active workspaces. */
   @GuardedBy("this")
-  private double shareOf(Waiting waiting) {
-    int own = waiting.request().plan().weight();
+  private double weightedShare(QueuedRequest queued) {
+    int own = queued.request().plan().weight();
     int others = 0;
-    for (Map.Entry<String, Integer> active : weights.entrySet()) {
-      others += active.getKey().equals(waiting.flow().workspace()) ? 0 : active.getValue();
+    for (Map.Entry<String, Integer> active : weightsByWorkspace.entrySet()) {
+      others += active.getKey().equals(queued.flow().workspace()) ? 0 : active.getValue();
     }
     return (double) own / (own + others);
   }
 
-  private void released(String workspace, String model) {
+  private void onReleased(String workspace, String model) {
     synchronized (this) {
-      streams.merge(model, -1, Integer::sum);
-      inFlight.computeIfPresent(workspace, (name, count) -> count == 1 ? null : count - 1);
-      if (!inFlight.containsKey(workspace)) {
-        weights.remove(workspace);
+      streamsByModel.merge(model, -1, Integer::sum);
+      inFlightByWorkspace.computeIfPresent(
+          workspace, (name, count) -> count == 1 ? null : count - 1);
+      if (!inFlightByWorkspace.containsKey(workspace)) {
+        weightsByWorkspace.remove(workspace);
       }
     }
     executor.execute(this::recheck);
   }
 
   @GuardedBy("this")
-  private void planRecheck() {
-    if (recheckPlanned || queues.values().stream().allMatch(queue -> queue.size() == 0)) {
+  private void scheduleRecheck() {
+    if (recheckScheduled || queuesByModel.values().stream().allMatch(queue -> queue.size() == 0)) {
       return;
     }
-    recheckPlanned = true;
+    recheckScheduled = true;
     executor.schedule(
         () -> {
           synchronized (this) {
-            recheckPlanned = false;
+            recheckScheduled = false;
           }
           recheck();
         },
-        RECHECK);
+        RECHECK_INTERVAL);
   }
 
   private long now() {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionPolicy.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionPolicy.java
@@ -6,53 +6,54 @@
 import org.vaneworks.coordination.routing.RoutePlanner;
 import org.vaneworks.coordination.routing.RouteQuery;
 
-/** Decides whether a planned route may take one more stream now. */
+/** Decides whether a planned route may accept one more stream now. */
 @FunctionalInterface
 public interface AdmissionPolicy {
   /**
-   * Returns whether the route may take the stream.
+   * Returns whether the route may accept the stream.
    *
-   * @param route the cheapest route
-   * @param query what it is wanted for
-   * @param waited how long the request has waited already
+   * @param route the route with the lowest cost
+   * @param query the query that the route was planned for
+   * @param waited how long the request has already waited in the queue
    */
   boolean admits(RoutePlanner.PlannedRoute route, RouteQuery query, Duration waited);
 
-  /** Returns the policy that admits while every hop holds fewer streams than a fixed cap. */
+  /** Returns a policy that admits a stream if every engine has fewer than {@code cap} streams. */
   static AdmissionPolicy fixedCap(int cap) {
     return (route, query, waited) ->
         route.engines().stream().allMatch(engine -> engine.inFlight() < cap);
   }
 
   /**
-   * Returns the policy that admits while the predicted pace and first token hold their bounds.
+   * Returns a policy that admits a stream if the predicted time to the first token and the
+   * predicted time between tokens are within the bounds of the query.
    *
-   * <p>An idle route is always good enough: waiting would not make it better.
+   * <p>An idle route is always accepted, since waiting would not improve the prediction.
    */
   static AdmissionPolicy withinBounds(EndpointLimits limits) {
     return (route, query, waited) -> {
-      double pace = 0;
-      double tails = 0;
-      double first = waited.toNanos() / 1e6;
+      double stepMillis = 0;
+      double squaredTails = 0;
+      double firstTokenMillis = waited.toNanos() / 1e6;
       boolean idle = true;
       for (EndpointState engine : route.engines()) {
-        int mine = engine.inFlight();
+        int inFlight = engine.inFlight();
         int cap = engine.isLearned() ? limits.maxStreams() : limits.streamsWhileUnknown();
-        if (mine >= cap) {
+        if (inFlight >= cap) {
           return false;
         }
         double running = engine.estimatedRunning();
-        idle &= mine == 0 && running < 1;
-        pace += engine.predictedStepMillis(running + 1);
-        tails += engine.stepTailMillis() * engine.stepTailMillis();
-        first +=
+        idle &= inFlight == 0 && running < 1;
+        stepMillis += engine.predictedStepMillis(running + 1);
+        squaredTails += engine.stepTailMillis() * engine.stepTailMillis();
+        firstTokenMillis +=
             engine.predictedPromptMillis(
                 query.promptTokens() * (1 - engine.cachedShare(query.prefixes())));
       }
-      double slowPace = pace + Math.sqrt(tails);
-      boolean paceHolds = slowPace <= query.betweenTokens().toMillis();
-      boolean firstHolds = first <= query.firstToken().toMillis();
-      return idle || (paceHolds && firstHolds);
+      double slowStepMillis = stepMillis + Math.sqrt(squaredTails);
+      boolean meetsBetweenTokens = slowStepMillis <= query.betweenTokens().toMillis();
+      boolean meetsFirstToken = firstTokenMillis <= query.firstToken().toMillis();
+      return idle || (meetsBetweenTokens && meetsFirstToken);
     };
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/admission/FairQueue.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/admission/FairQueue.java
@@ -11,17 +11,17 @@
 import org.vaneworks.state.Priority;
 
 /**
- * Waiting requests of one model under start-time fair queueing.
+ * The queued requests of one model, ordered by start-time fair queueing.
  *
- * <p>Each flow (workspace and priority) gets service in proportion to its weight; a flow that was
- * idle gets no credit for it. Not thread-safe; {@link AdmissionControl} guards it.
+ * <p>Each flow (workspace and priority) is served in proportion to its weight. A flow accumulates
+ * no credit while it is idle. Not thread-safe; guarded by the lock of {@link AdmissionControl}.
  */
 final class FairQueue {
-  /** One flow: requests of one workspace at one priority. */
+  /** Identifies a flow: the requests of one workspace at one priority. */
   record FlowKey(String workspace, Priority priority) {}
 
   private static final class Flow {
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
+    private final Deque<QueuedRequest> waiting = new ArrayDeque<>();
     private double lastFinish;
   }
 
@@ -34,56 +34,56 @@
     this.cost = cost;
   }
 
-  void add(Waiting waiting) {
-    CompletionRequest request = waiting.request();
-    Flow flow = flows.computeIfAbsent(waiting.flow(), key -> new Flow());
+  void add(QueuedRequest queued) {
+    CompletionRequest request = queued.request();
+    Flow flow = flows.computeIfAbsent(queued.flow(), key -> new Flow());
     double share = (double) request.plan().weight() * request.priority().factor();
     double start = Math.max(virtualTime, flow.lastFinish);
     flow.lastFinish = start + cost.of(request) / share;
-    waiting.tag(start);
-    flow.waiting.add(waiting);
+    queued.startTag(start);
+    flow.waiting.add(queued);
     size++;
   }
 
-  /** Returns the flows' first requests, the one to serve next first. */
-  List<Waiting> heads() {
-    List<Waiting> heads = new ArrayList<>(flows.size());
+  /** Returns the first request of each flow, ordered by start tag: the next to serve is first. */
+  List<QueuedRequest> firstRequests() {
+    List<QueuedRequest> firstRequests = new ArrayList<>(flows.size());
     for (Flow flow : flows.values()) {
       if (!flow.waiting.isEmpty()) {
-        heads.add(flow.waiting.peek());
+        firstRequests.add(flow.waiting.peek());
       }
     }
-    heads.sort(Comparator.comparingDouble(Waiting::tag));
-    return heads;
+    firstRequests.sort(Comparator.comparingDouble(QueuedRequest::startTag));
+    return firstRequests;
   }
 
-  /** Removes a request that is served. */
-  void serve(Waiting waiting) {
-    virtualTime = Math.max(virtualTime, waiting.tag());
-    remove(waiting);
+  /** Removes a request that is being served and advances the virtual time to its start tag. */
+  void serve(QueuedRequest queued) {
+    virtualTime = Math.max(virtualTime, queued.startTag());
+    remove(queued);
   }
 
-  /** Removes a request; returns false if it was not there. */
-  boolean remove(Waiting waiting) {
-    Flow flow = flows.get(waiting.flow());
-    if (flow == null || !flow.waiting.remove(waiting)) {
+  /** Removes a request; returns false if it was not queued. */
+  boolean remove(QueuedRequest queued) {
+    Flow flow = flows.get(queued.flow());
+    if (flow == null || !flow.waiting.remove(queued)) {
       return false;
     }
     size--;
     if (flow.waiting.isEmpty() && flow.lastFinish <= virtualTime) {
-      flows.remove(waiting.flow());
+      flows.remove(queued.flow());
     }
     return true;
   }
 
-  /** Returns how many requests would be served before a new one of the flow. */
-  int ahead(FlowKey key) {
+  /** Returns how many queued requests would be served before a new request of the flow. */
+  int countAhead(FlowKey key) {
     Flow own = flows.get(key);
     double start = own == null ? virtualTime : Math.max(virtualTime, own.lastFinish);
     int ahead = 0;
     for (Flow flow : flows.values()) {
-      for (Waiting waiting : flow.waiting) {
-        if (waiting.tag() <= start) {
+      for (QueuedRequest queued : flow.waiting) {
+        if (queued.startTag() <= start) {
           ahead++;
         }
       }
@@ -91,8 +91,8 @@
     return ahead;
   }
 
-  /** Returns how many requests of the workspace wait. */
-  int waitingOf(String workspace) {
+  /** Returns the number of queued requests of the workspace. */
+  int waitingCount(String workspace) {
     int count = 0;
     for (Priority priority : Priority.values()) {
       Flow flow = flows.get(new FlowKey(workspace, priority));
@@ -105,8 +105,8 @@
     return size;
   }
 
-  /** Forgets idle flows; called now and then so that their number follows the load. */
-  void forgetIdle() {
+  /** Removes all flows if no request is queued, so that idle flows don't accumulate. */
+  void removeIdleFlows() {
     if (size == 0) {
       flows.clear();
       virtualTime = 0;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/admission/Waiting.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/admission/QueuedRequest.java
@@ -6,20 +6,24 @@
 import org.vaneworks.coordination.requests.CompletionRequest;
 import org.vaneworks.coordination.routing.RouteQuery;
 
-/** A request that waits for admission. Its mutable parts are guarded by the admission lock. */
-final class Waiting {
+/**
+ * A request that waits for admission.
+ *
+ * <p>The mutable fields are guarded by the lock of {@link AdmissionControl}.
+ */
+final class QueuedRequest {
   private final CompletionRequest request;
   private final RouteQuery query;
-  private final long since;
+  private final long queuedAt;
   private final FlowKey flow;
   private final CompletableFuture<Admission> outcome = new CompletableFuture<>();
   private Cancellable expiry = () -> {};
-  private double tag;
+  private double startTag;
 
-  Waiting(CompletionRequest request, RouteQuery query, long since) {
+  QueuedRequest(CompletionRequest request, RouteQuery query, long queuedAt) {
     this.request = request;
     this.query = query;
-    this.since = since;
+    this.queuedAt = queuedAt;
     this.flow = new FlowKey(request.plan().workspace(), request.priority());
   }
 
@@ -31,8 +35,8 @@
     return query;
   }
 
-  long since() {
-    return since;
+  long queuedAt() {
+    return queuedAt;
   }
 
   FlowKey flow() {
@@ -51,11 +55,11 @@
     return expiry;
   }
 
-  void tag(double start) {
-    tag = start;
+  void startTag(double start) {
+    startTag = start;
   }
 
-  double tag() {
-    return tag;
+  double startTag() {
+    return startTag;
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/admission/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/admission/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Which requests of {@code vaneworksd} run now, which wait and which are refused.
+ * Admission control of {@code vaneworksd}: which requests run now, wait in a queue or are refused.
  *
- * <p>Input: the predicted time to the first token and between tokens over a route, workspaces'
- * shares and priorities. Called by the drivers of pipelines. The queue's lock is taken after a
- * stream's and before the endpoint table's.
+ * <p>Decisions depend on the predicted time to the first token and between tokens over a route, and
+ * on the shares and priorities of workspaces. Called by the pipeline driver. Lock order: the
+ * admission lock is acquired after the lock of a stream and before that of the endpoint table.
  */
 package org.vaneworks.coordination.admission;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/ClaimShard.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/ClaimShard.java
@@ -24,20 +24,22 @@
 import org.vaneworks.telemetry.EventLog;
 
 /**
- * One shard of the claims, as its present writer sees it.
+ * Writes the claims of one shard to the store.
  *
- * <p>Claims that come while a write is on its way are folded into the next one, so writes don't
- * grow with requests. The store's compare-and-swap decides; any number of nodes may believe that
- * they are the writer. Thread-safe; futures are completed with no lock held.
+ * <p>Claims that arrive during a write are batched into the next one, so the number of writes does
+ * not grow with the number of requests. Several nodes may write the same shard at the same time:
+ * the store's compare-and-swap decides which write takes effect. Thread-safe; futures are completed
+ * without holding the lock.
  */
 public final class ClaimShard {
-  /** Least time between two writes of one shard. */
-  private static final Duration WRITE_EVERY = Duration.ofMillis(100);
+  /** Minimum interval between two writes of one shard. */
+  private static final Duration MIN_WRITE_INTERVAL = Duration.ofMillis(100);
 
-  private static final Duration RETRY_PAUSE = Duration.ofMillis(100);
-  private static final int MAX_DOCUMENT = 900_000;
+  private static final Duration RETRY_DELAY = Duration.ofMillis(100);
+  private static final int MAX_DOCUMENT_CHARACTERS = 900_000;
 
-  private record Wanted(Claim claim, long until, CompletableFuture<Claim> held) {}
+  /** A claim that is not yet decided; {@code held} completes with the claim that holds the key. */
+  private record PendingClaim(Claim claim, long deadline, CompletableFuture<Claim> held) {}
 
   private final String key;
   private final Executor executor;
@@ -46,7 +48,7 @@
   private final OnceLimits limits;
 
   @GuardedBy("this")
-  private final List<Wanted> pending = new ArrayList<>();
+  private final List<PendingClaim> pending = new ArrayList<>();
 
   @GuardedBy("this")
   private final Map<String, Long> firstSeen = new HashMap<>();
@@ -63,7 +65,11 @@
   @GuardedBy("this")
   private long lastWrite;
 
-  /** Creates the writer of one shard; it writes nothing before the first claim. */
+  /**
+   * Creates a writer, which accesses the store for the first time on the first claim.
+   *
+   * @param key the store key of the shard's document
+   */
   public ClaimShard(
       String key, Executor executor, PlatformStore store, ClaimFormat format, OnceLimits limits) {
     this.key = key;
@@ -71,42 +77,43 @@
     this.store = store;
     this.format = format;
     this.limits = limits;
-    this.lastWrite = now() - WRITE_EVERY.toNanos();
+    this.lastWrite = now() - MIN_WRITE_INTERVAL.toNanos();
   }
 
   /**
    * Claims a key.
    *
-   * @param limit how long to go on trying
-   * @return the claim in force for the key, this one or an earlier one
+   * @param limit how long to retry
+   * @return the claim that holds the key: this one or an earlier one
    */
   public CompletableFuture<Claim> claim(Claim claim, Duration limit) {
-    Wanted wanted = new Wanted(claim, now() + limit.toNanos(), new CompletableFuture<>());
+    PendingClaim pendingClaim =
+        new PendingClaim(claim, now() + limit.toNanos(), new CompletableFuture<>());
     synchronized (this) {
-      // A claim once seen stays in force until it is old, also while the store can't be asked.
-      Claim seen = withoutOld().get(claim.key());
-      if (seen != null) {
-        return CompletableFuture.completedFuture(seen);
+      // A known claim holds until it expires, even while the store is unavailable.
+      Claim existing = unexpired().get(claim.key());
+      if (existing != null) {
+        return CompletableFuture.completedFuture(existing);
       }
-      pending.add(wanted);
+      pending.add(pendingClaim);
     }
-    writeSoon();
-    return wanted.held();
+    scheduleWrite();
+    return pendingClaim.held();
   }
 
-  private void writeSoon() {
+  private void scheduleWrite() {
     long wait;
     synchronized (this) {
       if (busy || pending.isEmpty()) {
         return;
       }
       busy = true;
-      wait = Math.max(0, lastWrite + WRITE_EVERY.toNanos() - now());
+      wait = Math.max(0, lastWrite + MIN_WRITE_INTERVAL.toNanos() - now());
     }
-    executor.schedule(this::round, Duration.ofNanos(wait));
+    executor.schedule(this::readOrWrite, Duration.ofNanos(wait));
   }
 
-  private void round() {
+  private void readOrWrite() {
     boolean mustRead;
     synchronized (this) {
       lastWrite = now();
@@ -125,15 +132,15 @@
         executor,
         (entry, failure) -> {
           if (failure != null) {
-            failed(failure);
+            onFailure(failure);
           } else {
-            learn(entry);
+            load(entry);
             write();
           }
         });
   }
 
-  private synchronized void learn(Optional<StoreEntry> entry) {
+  private synchronized void load(Optional<StoreEntry> entry) {
     revision = entry.map(StoreEntry::revision).orElse(0L);
     known = new LinkedHashMap<>();
     if (entry.isPresent()) {
@@ -146,57 +153,63 @@
 
   private void write() {
     Map<String, Claim> next;
-    List<Wanted> batch;
+    List<PendingClaim> batch;
     long expected;
-    boolean same;
+    boolean unchanged;
     synchronized (this) {
       batch = List.copyOf(pending);
-      next = withoutOld();
-      batch.forEach(wanted -> next.putIfAbsent(wanted.claim().key(), wanted.claim()));
+      next = unexpired();
+      batch.forEach(
+          pendingClaim -> next.putIfAbsent(pendingClaim.claim().key(), pendingClaim.claim()));
       expected = revision;
-      same = next.equals(known);
+      unchanged = next.equals(known);
     }
-    if (same) {
-      settled(batch, next);
+    if (unchanged) {
+      complete(batch, next);
       return;
     }
     String text = format.encodeClaims(ImmutableList.copyOf(next.values()));
-    if (text.length() > MAX_DOCUMENT) {
-      refuse(batch, Refusal.before(Reason.RECORDS_FULL, key + " is full"));
+    if (text.length() > MAX_DOCUMENT_CHARACTERS) {
+      fail(batch, Refusal.before(Reason.RECORDS_FULL, key + " is full"));
       return;
     }
     Async.onDone(
         store.compareAndSwap(key, expected, text, StorePurpose.CLAIM),
         executor,
-        (swapped, failure) -> written(batch, next, swapped, failure));
+        (swapped, failure) -> onWritten(batch, next, swapped, failure));
   }
 
   /**
-   * A claim is old once this node itself has seen it for the whole retention: no clocks are
-   * compared, and a change of writer can only make a claim last longer.
+   * Returns the known claims without those that expired.
+   *
+   * <p>A claim expires once this node has known it for the whole retention time. This compares no
+   * clocks of different nodes, and a change of the writer can only extend the life of a claim.
    */
   @GuardedBy("this")
-  private Map<String, Claim> withoutOld() {
-    long old = now() - limits.claimRetention().toNanos();
-    Map<String, Claim> young = new LinkedHashMap<>();
+  private Map<String, Claim> unexpired() {
+    long oldestUnexpired = now() - limits.claimRetention().toNanos();
+    Map<String, Claim> unexpired = new LinkedHashMap<>();
     known.forEach(
         (hash, claim) -> {
-          if (firstSeen.getOrDefault(claim.claimId(), now()) - old > 0) {
-            young.put(hash, claim);
+          if (firstSeen.getOrDefault(claim.claimId(), now()) - oldestUnexpired > 0) {
+            unexpired.put(hash, claim);
           }
         });
-    return young;
+    return unexpired;
   }
 
-  private void written(
-      List<Wanted> batch, Map<String, Claim> next, Optional<Long> swapped, Throwable failure) {
+  private void onWritten(
+      List<PendingClaim> batch,
+      Map<String, Claim> next,
+      Optional<Long> swapped,
+      Throwable failure) {
     if (failure != null) {
-      failed(failure);
+      onFailure(failure);
       return;
     }
     if (swapped.isEmpty()) {
-      // Another writer got in first: read again and fold anew.
-      readAgain();
+      // Another node wrote the document first: read it again and merge the batch into it.
+      reread();
       return;
     }
     synchronized (this) {
@@ -205,10 +218,10 @@
       next.values().forEach(claim -> firstSeen.putIfAbsent(claim.claimId(), now()));
       firstSeen.keySet().retainAll(next.values().stream().map(Claim::claimId).toList());
     }
-    settled(batch, next);
+    complete(batch, next);
   }
 
-  private void readAgain() {
+  private void reread() {
     synchronized (this) {
       revision = -1;
       lastWrite = now();
@@ -216,27 +229,30 @@
     read();
   }
 
-  private void settled(List<Wanted> batch, Map<String, Claim> inForce) {
+  private void complete(List<PendingClaim> batch, Map<String, Claim> inForce) {
     synchronized (this) {
       pending.removeAll(batch);
       busy = false;
     }
-    batch.forEach(wanted -> wanted.held().complete(inForce.get(wanted.claim().key())));
-    writeSoon();
+    batch.forEach(
+        pendingClaim -> pendingClaim.held().complete(inForce.get(pendingClaim.claim().key())));
+    scheduleWrite();
   }
 
   /**
-   * Tries again what has time left. What the store holds now is not known: a write that failed may
-   * have taken effect, which reading back shows by the claims' own names.
+   * Retries the pending claims whose time limit has not passed, and fails the others.
+   *
+   * <p>A failed write may have taken effect. The next read shows whether it did, since every claim
+   * has a unique identifier.
    */
-  private void failed(Throwable failure) {
-    List<Wanted> late = new ArrayList<>();
+  private void onFailure(Throwable failure) {
+    List<PendingClaim> timedOut = new ArrayList<>();
     synchronized (this) {
       revision = -1;
-      for (Wanted wanted : List.copyOf(pending)) {
-        if (wanted.until() - now() <= 0) {
-          pending.remove(wanted);
-          late.add(wanted);
+      for (PendingClaim pendingClaim : List.copyOf(pending)) {
+        if (pendingClaim.deadline() - now() <= 0) {
+          pending.remove(pendingClaim);
+          timedOut.add(pendingClaim);
         }
       }
       busy = false;
@@ -248,17 +264,17 @@
         Refusal.mayHaveRun(Reason.STORE_UNAVAILABLE, "the claim could not be settled in time")
             .withRetryAfter(Duration.ofSeconds(1))
             .toException();
-    late.forEach(wanted -> wanted.held().completeExceptionally(unavailable));
-    executor.schedule(this::writeSoon, RETRY_PAUSE);
+    timedOut.forEach(pendingClaim -> pendingClaim.held().completeExceptionally(unavailable));
+    executor.schedule(this::scheduleWrite, RETRY_DELAY);
   }
 
-  private void refuse(List<Wanted> batch, Refusal refusal) {
+  private void fail(List<PendingClaim> batch, Refusal refusal) {
     synchronized (this) {
       pending.removeAll(batch);
       busy = false;
     }
-    batch.forEach(wanted -> wanted.held().completeExceptionally(refusal.toException()));
-    writeSoon();
+    batch.forEach(pendingClaim -> pendingClaim.held().completeExceptionally(refusal.toException()));
+    scheduleWrite();
   }
 
   private long now() {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceDelivery.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceDelivery.java
@@ -7,39 +7,39 @@
 import org.vaneworks.state.Refusal;
 
 /**
- * Gives a caller a completion's tokens: those that come live, then those of the outcome that are
- * still missing, then the end. Thread-safe.
+ * Delivers a completion to its caller: first the tokens received while the completion runs, then
+ * the remaining tokens of the recorded outcome, then the end. Thread-safe.
  */
 public final class OnceDelivery implements AnswerSink {
   private final AnswerSink caller;
 
   @GuardedBy("this")
-  private int given;
+  private int delivered;
 
-  /** Creates a delivery to a caller who is there. */
+  /** Creates a delivery to a connected caller. */
   public OnceDelivery(AnswerSink caller) {
     this.caller = caller;
   }
 
   @Override
   public synchronized void token(String text) {
-    given++;
+    delivered++;
     caller.token(text);
   }
 
-  /** The end comes with the outcome. */
+  /** Does nothing: {@link #finish} delivers the end. */
   @Override
   public void complete() {}
 
-  /** The end comes with the outcome. */
+  /** Does nothing: {@link #finish} delivers the end. */
   @Override
   public void failed(Refusal refusal) {}
 
-  /** Takes the outcome, once. */
-  public synchronized void end(OnceOutcome outcome) {
+  /** Delivers the rest of the outcome. Must be called exactly once. */
+  public synchronized void finish(OnceOutcome outcome) {
     if (outcome instanceof OnceOutcome.Tokens whole) {
       ImmutableList<String> tokens = whole.tokens();
-      tokens.subList(Math.min(given, tokens.size()), tokens.size()).forEach(caller::token);
+      tokens.subList(Math.min(delivered, tokens.size()), tokens.size()).forEach(caller::token);
       caller.complete();
     } else if (outcome instanceof OnceOutcome.Refused refused) {
       caller.failed(refused.refusal());
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceLimits.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceLimits.java
@@ -5,19 +5,21 @@
 import java.time.Duration;
 
 /**
- * Bounds on records of requests that run at most once.
+ * Limits on the records of requests that run at most once.
  *
- * @param ticketValidity how long an unused ticket may be used
- * @param claimRetention how long a key is remembered in the platform's store
- * @param maxRecords most records that a node holds
- * @param maxBytes most bytes of kept answers that a node holds
+ * @param ticketValidity how long after its issue a ticket may start a request
+ * @param claimRetention how long the claim of an idempotency key is kept in the platform's store
+ * @param maxRecords maximum number of records on a node
+ * @param maxBytes maximum total size in bytes of recorded answers on a node
  */
 public record OnceLimits(
     Duration ticketValidity, Duration claimRetention, int maxRecords, long maxBytes) {
-  /** Records outlive tickets and claims by this factor, so that no record means not used. */
-  private static final int RECORD_FACTOR = 2;
+  /**
+   * Records outlive tickets and claims, so that a missing record proves an unused ticket or key.
+   */
+  private static final int RECORD_RETENTION_FACTOR = 2;
 
-  /** Checks the bounds. */
+  /** Checks the limits. */
   public OnceLimits {
     checkArgument(!ticketValidity.isZero(), "ticketValidity must be positive");
     checkArgument(!claimRetention.isZero(), "claimRetention must be positive");
@@ -25,7 +27,7 @@
     checkArgument(maxBytes > 0, "maxBytes must be positive: %s", maxBytes);
   }
 
-  /** Returns the bounds that hold unless settings say otherwise. */
+  /** Returns the default limits. */
   public static OnceLimits defaults() {
     return new OnceLimits(Duration.ofMinutes(10), Duration.ofMinutes(10), 20_000, 32L << 20);
   }
@@ -34,6 +36,6 @@
   Duration recordRetention() {
     Duration longer =
         ticketValidity.compareTo(claimRetention) > 0 ? ticketValidity : claimRetention;
-    return longer.multipliedBy(RECORD_FACTOR);
+    return longer.multipliedBy(RECORD_RETENTION_FACTOR);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceOutcome.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceOutcome.java
@@ -7,20 +7,20 @@
 import org.vaneworks.state.Refusal;
 import org.vaneworks.state.Verdict;
 
-/** How a request that runs at most once ended. */
+/** The outcome of a request that runs at most once. */
 public sealed interface OnceOutcome {
-  /** Returns about how many bytes the outcome takes to keep. */
+  /** Returns the approximate size of the outcome in bytes. */
   int size();
 
-  /** Returns whether it is known that no part ran, so that the request may still run. */
+  /** Returns whether no part of the request ran for certain, so that it may be started again. */
   default boolean isNotRun() {
     return this instanceof Refused refused && refused.refusal().verdict() == Verdict.NOT_RUN;
   }
 
   /**
-   * A whole completion.
+   * A completed completion.
    *
-   * @param tokens the answer
+   * @param tokens the tokens of the answer
    */
   record Tokens(ImmutableList<String> tokens) implements OnceOutcome {
     /** Checks that the tokens are given. */
@@ -35,7 +35,7 @@
   }
 
   /**
-   * A plain service's answer.
+   * The answer of a plain service.
    *
    * @param reply the answer
    */
@@ -54,7 +54,7 @@
   /**
    * A refusal or failure.
    *
-   * @param refusal why
+   * @param refusal the reason, and what is known about whether the request ran
    */
   record Refused(Refusal refusal) implements OnceOutcome {
     /** Checks that the refusal is given. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceRecord.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceRecord.java
@@ -6,16 +6,16 @@
 import java.util.Optional;
 
 /**
- * One record as it is handed over: whether a request ran, and its outcome.
+ * A record in the form in which it is handed over to another node.
  *
- * @param recordId names it
+ * @param recordId identifier of the record: a ticket, or a claim with its prefix
  * @param bodyHash hash of the work
- * @param outcome the outcome; empty if nothing ran yet and the request may still run
+ * @param outcome the outcome; empty if nothing ran and the request may still be started
  */
 public record OnceRecord(String recordId, String bodyHash, Optional<OnceOutcome> outcome) {
-  /** Checks that every part is given. */
+  /** Checks that the components are given. */
   public OnceRecord {
-    checkArgument(!recordId.isEmpty(), "a record must be named");
+    checkArgument(!recordId.isEmpty(), "recordId must not be empty");
     checkNotNull(bodyHash);
     checkNotNull(outcome);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceBook.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceRecordTable.java
@@ -17,34 +17,40 @@
 import org.vaneworks.state.Refusal;
 
 /**
- * The one memory of whether a request ran; only the node that holds it may run the request.
+ * The records of requests that run at most once. Only the node that holds the record of a request
+ * may run it.
  *
- * <p>A record is made before anything is sent and is never unmade while its ticket or claim could
- * still be used, so a second run can't start. Thread-safe; futures are completed with no lock held.
+ * <p>A record is created before anything is sent and is kept as long as its ticket or claim could
+ * be used, so a second run can't start. Thread-safe; futures are completed without holding the
+ * lock.
  */
-public final class OnceBook {
-  /** What the book says to one who wants to run a request. */
-  public sealed interface Opening {
-    /** Run it, and tell the book how it ended. */
-    record Start() implements Opening {}
-
-    /** Don't run it; this is, or will be, its outcome. */
-    record Wait(CompletableFuture<OnceOutcome> outcome) implements Opening {}
+public final class OnceRecordTable {
+  /** The decision whether a request is to be run. */
+  public sealed interface Decision {
+    /** The request must be run, and its outcome passed to {@link #finish}. */
+    record Start() implements Decision {}
+
+    /**
+     * The request must not be run.
+     *
+     * @param outcome completes with the outcome of the existing run, or with a refusal
+     */
+    record Wait(CompletableFuture<OnceOutcome> outcome) implements Decision {}
   }
 
   private static final class Entry {
     private final String bodyHash;
-    private final long madeAt;
+    private final long createdAt;
     private CompletableFuture<OnceOutcome> outcome = new CompletableFuture<>();
     private boolean running = true;
 
-    Entry(String bodyHash, long madeAt) {
+    Entry(String bodyHash, long createdAt) {
       this.bodyHash = bodyHash;
-      this.madeAt = madeAt;
+      this.createdAt = createdAt;
     }
 
-    /** Nothing ran, and the request may still run. */
-    boolean isReleased() {
+    /** Returns whether nothing ran, so that the request may be started again. */
+    boolean mayRestart() {
       return !running && !outcome.isDone();
     }
   }
@@ -58,81 +64,85 @@
   @GuardedBy("this")
   private long bytes;
 
-  /** Creates an empty book. */
-  public OnceBook(Executor clock, OnceLimits limits) {
+  /** Creates an empty table. */
+  public OnceRecordTable(Executor clock, OnceLimits limits) {
     this.clock = checkNotNull(clock);
     this.limits = checkNotNull(limits);
   }
 
   /**
-   * Asks whether to run a request.
+   * Decides whether a request is to be run, and records its start if so.
    *
+   * @param bodyHash hash of the work, which must equal that of the first request
    * @param mayCreate whether a missing record proves that the request never ran
    */
-  public synchronized Opening open(String recordId, String bodyHash, boolean mayCreate) {
+  public synchronized Decision start(String recordId, String bodyHash, boolean mayCreate) {
     Entry entry = entries.get(recordId);
     if (entry == null) {
-      return mayCreate ? create(recordId, bodyHash) : refuse(gone());
+      return mayCreate ? create(recordId, bodyHash) : refuse(recordGone());
     }
     if (!entry.bodyHash.equals(bodyHash)) {
       return refuse(Refusal.before(Reason.KEY_REUSED, "the first request had another body"));
     }
-    if (entry.isReleased()) {
+    if (entry.mayRestart()) {
       entry.running = true;
-      return new Opening.Start();
+      return new Decision.Start();
     }
-    return new Opening.Wait(entry.outcome);
+    return new Decision.Wait(entry.outcome);
   }
 
   @GuardedBy("this")
-  private Opening create(String recordId, String bodyHash) {
-    forgetOld();
+  private Decision create(String recordId, String bodyHash) {
+    removeExpired();
     if (entries.size() >= limits.maxRecords() || bytes >= limits.maxBytes()) {
       return refuse(
           Refusal.before(Reason.RECORDS_FULL, entries.size() + " records")
               .withRetryAfter(Duration.ofSeconds(5)));
     }
     entries.put(recordId, new Entry(bodyHash, now()));
-    return new Opening.Start();
+    return new Decision.Start();
   }
 
-  private static Opening refuse(Refusal refusal) {
-    return new Opening.Wait(CompletableFuture.completedFuture(new OnceOutcome.Refused(refusal)));
+  private static Decision refuse(Refusal refusal) {
+    return new Decision.Wait(CompletableFuture.completedFuture(new OnceOutcome.Refused(refusal)));
   }
 
-  private static Refusal gone() {
+  private static Refusal recordGone() {
     return Refusal.mayHaveRun(Reason.RECORD_GONE, "no record of it is left");
   }
 
-  /** Takes the outcome of a request that was started; one that did not run may run later. */
+  /**
+   * Records the outcome of a request that was started. If no part of it ran, the request may be
+   * started again.
+   */
   public void finish(String recordId, OnceOutcome outcome) {
-    CompletableFuture<OnceOutcome> waiting;
+    CompletableFuture<OnceOutcome> waiters;
     synchronized (this) {
       Entry entry = entries.get(recordId);
       checkState(entry != null && entry.running, "record %s was not started", recordId);
       entry.running = false;
-      waiting = entry.outcome;
+      waiters = entry.outcome;
       if (outcome.isNotRun()) {
         entry.outcome = new CompletableFuture<>();
       } else {
         bytes += outcome.size();
       }
     }
-    waiting.complete(outcome);
+    waiters.complete(outcome);
   }
 
-  /** Unmakes a record whose claim went to another; nobody else knows its name. */
+  /** Deletes a record whose claim was won by another node; no other node knows its identifier. */
   public synchronized void discard(String recordId) {
     entries.remove(recordId);
   }
 
   @GuardedBy("this")
-  private void forgetOld() {
-    long old = now() - limits.recordRetention().toNanos();
+  private void removeExpired() {
+    long oldestUnexpired = now() - limits.recordRetention().toNanos();
     Iterator<Entry> oldest = entries.values().iterator();
     while (oldest.hasNext()) {
       Entry entry = oldest.next();
-      if (entry.madeAt - old > 0) {
+      if (entry.createdAt - oldestUnexpired > 0) {
         return;
       }
       if (!entry.running) {
@@ -142,7 +152,7 @@
     }
   }
 
-  /** Returns the records to hand over; to be called once nothing runs any more. */
+  /** Returns the records for a hand-over. Must be called only after all requests have ended. */
   public synchronized ImmutableList<OnceRecord> records() {
     ImmutableList.Builder<OnceRecord> records = ImmutableList.builder();
     entries.forEach(
@@ -154,8 +164,8 @@
     return records.build();
   }
 
-  /** Takes another node's records in. */
-  public synchronized void adopt(Iterable<OnceRecord> records) {
+  /** Adds the records of another node. */
+  public synchronized void addAll(Iterable<OnceRecord> records) {
     for (OnceRecord record : records) {
       Entry entry = new Entry(record.bodyHash(), now());
       entry.running = false;
@@ -165,7 +175,7 @@
     }
   }
 
-  /** Returns how many records are held. */
+  /** Returns the number of records. */
   public synchronized int size() {
     return entries.size();
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceRequest.java
@@ -8,14 +8,14 @@
 import org.vaneworks.state.Priority;
 
 /**
- * A request that runs at most once, as its holder is asked for it.
+ * A request that runs at most once, in the form in which it is sent to the node that may run it.
  *
- * @param recordId names the record: a ticket, or a claim
- * @param mayCreate whether the holder may start it if it has no record
- * @param workspace the workspace
- * @param work what to run
- * @param priority how urgent, if the caller says so
- * @param deadline how long the caller waits
+ * @param recordId identifier of the record: a ticket, or a claim with its prefix
+ * @param mayCreate whether the holder may start the request if it has no record of it
+ * @param workspace name of the workspace
+ * @param work the work to run
+ * @param priority the priority, if set by the caller
+ * @param deadline how long the caller waits for the whole answer
  */
 public record OnceRequest(
     String recordId,
@@ -24,9 +24,9 @@
     OnceWork work,
     Optional<Priority> priority,
     Optional<Duration> deadline) {
-  /** Checks that every part is given. */
+  /** Checks that the components are given. */
   public OnceRequest {
-    checkArgument(!recordId.isEmpty(), "a record must be named");
+    checkArgument(!recordId.isEmpty(), "recordId must not be empty");
     checkNotNull(workspace);
     checkNotNull(work);
     checkNotNull(priority);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceWork.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceWork.java
@@ -6,9 +6,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.OptionalInt;
 
-/** What a request that runs at most once asks for. */
+/** The work of a request that runs at most once. */
 public sealed interface OnceWork {
-  /** Returns a hash of the work, equal for equal work. */
+  /** Returns a SHA-256 hash of the work; equal work has equal hashes on every node. */
   default String hash() {
     return Hashing.sha256().hashString(toString(), StandardCharsets.UTF_8).toString();
   }
@@ -17,10 +17,10 @@
    * A completion.
    *
    * @param prompt the whole prompt
-   * @param maxTokens tokens wanted at most
+   * @param maxTokens maximum number of tokens to generate
    */
   record Completion(String prompt, OptionalInt maxTokens) implements OnceWork {
-    /** Checks that both parts are given. */
+    /** Checks that the components are given. */
     public Completion {
       checkNotNull(prompt);
       checkNotNull(maxTokens);
@@ -36,7 +36,7 @@
    * @param body body, empty if none
    */
   record Call(String service, String method, String path, String body) implements OnceWork {
-    /** Checks that every part is given. */
+    /** Checks that the components are given. */
     public Call {
       checkNotNull(service);
       checkNotNull(method);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/RecordsPart.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/RecordsPart.java
@@ -6,13 +6,14 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * Part of what a leaving node hands to its successor; takes effect with the last part.
+ * One part of the records that a stopping node hands over to its successor. The hand-over takes
+ * effect when the last part is received.
  *
- * @param from identity of the leaving node
- * @param part number of this part, from 0
- * @param parts how many parts there are
- * @param authorities the node's own, and those that it took over itself
- * @param records records of this part
+ * @param from identity of the stopping node
+ * @param part index of this part, from 0
+ * @param parts total number of parts
+ * @param authorities the ticket authority of the stopping node and those it took over from others
+ * @param records the records in this part
  */
 public record RecordsPart(
     String from,
@@ -20,9 +21,9 @@
     int parts,
     ImmutableList<TicketAuthority> authorities,
     ImmutableList<OnceRecord> records) {
-  /** Checks the numbering. */
+  /** Checks the part index and that the lists are given. */
   public RecordsPart {
-    checkArgument(part >= 0 && part < parts, "part %s of %s", part, parts);
+    checkArgument(part >= 0 && part < parts, "invalid part index %s of %s parts", part, parts);
     checkNotNull(authorities);
     checkNotNull(records);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/TicketAuthority.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/TicketAuthority.java
@@ -4,16 +4,16 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * What it takes to tell one node's tickets and records: handed to a successor on a planned stop.
+ * The data needed to verify the tickets of one node. Handed over to a successor on a planned stop.
  *
- * @param identity whose tickets
- * @param secret signs them
- * @param clockMillis that node's clock when this was written
+ * @param identity identity of the node that issued the tickets
+ * @param secret key that signs the tickets
+ * @param clockMillis clock of the issuing node, in milliseconds, when this object was created
  */
 public record TicketAuthority(String identity, String secret, long clockMillis) {
-  /** Checks that every part is given. */
+  /** Checks that the components are given. */
   public TicketAuthority {
-    checkArgument(!identity.isEmpty(), "an authority must be named");
+    checkArgument(!identity.isEmpty(), "identity must not be empty");
     checkNotNull(secret);
   }
 
