--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/TicketOffice.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/TicketIssuer.java
@@ -17,23 +17,25 @@
 import java.util.regex.Pattern;
 
 /**
- * Issues tickets and tells its own from others'.
+ * Issues tickets and verifies those of this node and of the nodes whose records it took over.
  *
- * <p>A ticket names its home and is signed, so that issuing one takes no memory: only a used ticket
- * has a record. Thread-safe.
+ * <p>A ticket contains the identity of its home, the node that issued it, and a signature. Issuing
+ * one takes no memory; only a ticket that was used has a record. Thread-safe.
  */
-public final class TicketOffice {
-  private static final Pattern FORM = Pattern.compile("(.+)!(\\d+)!(\\d+)!([0-9a-f]{24})");
+public final class TicketIssuer {
+  private static final Pattern TICKET_PATTERN =
+      Pattern.compile("(.+)!(\\d+)!(\\d+)!([0-9a-f]{24})");
   private static final int SIGNATURE_DIGITS = 24;
 
-  /** What a ticket is worth here. */
-  public enum Worth {
+  /** The result of verifying a ticket. */
+  public enum Validity {
     VALID,
     EXPIRED,
     FORGED
   }
 
-  private record Held(TicketAuthority authority, long offsetMillis) {}
+  /** An authority, and the offset from its clock to the clock of this node. */
+  private record HeldAuthority(TicketAuthority authority, long offsetMillis) {}
 
   private final Executor clock;
   private final OnceLimits limits;
@@ -41,22 +43,22 @@
   private final AtomicLong sequence = new AtomicLong();
 
   @GuardedBy("this")
-  private final Map<String, Held> authorities = new HashMap<>();
+  private final Map<String, HeldAuthority> authorities = new HashMap<>();
 
-  /** Creates an office that signs as this run of this node. */
-  public TicketOffice(Executor clock, OnceLimits limits, String identity, String secret) {
+  /** Creates an issuer that signs tickets with the identity and secret of this run of the node. */
+  public TicketIssuer(Executor clock, OnceLimits limits, String identity, String secret) {
     this.clock = checkNotNull(clock);
     this.limits = checkNotNull(limits);
     this.identity = checkNotNull(identity);
-    adopt(new TicketAuthority(identity, secret, now()));
+    addAuthority(new TicketAuthority(identity, secret, now()));
   }
 
-  /** Issues tickets. */
+  /** Issues the given number of tickets. */
   public ImmutableList<String> issue(int count) {
     ImmutableList.Builder<String> tickets = ImmutableList.builder();
     for (int i = 0; i < count; i++) {
       String body = identity + "!" + sequence.incrementAndGet() + "!" + now();
-      tickets.add(body + "!" + sign(body, held(identity).orElseThrow().authority()));
+      tickets.add(body + "!" + sign(body, authorityOf(identity).orElseThrow().authority()));
     }
     return tickets.build();
   }
@@ -64,33 +66,33 @@
   /**
    * Returns the identity of the node that issued a ticket.
    *
-   * @throws IllegalArgumentException if the text has not the form of a ticket
+   * @throws IllegalArgumentException if the text is not in the format of a ticket
    */
   public static String homeOf(String ticket) {
     return parse(ticket).group(1);
   }
 
   private static Matcher parse(String ticket) {
-    Matcher matcher = FORM.matcher(ticket);
+    Matcher matcher = TICKET_PATTERN.matcher(ticket);
     checkArgument(matcher.matches(), "%s is no ticket", ticket);
     return matcher;
   }
 
-  /** Returns whether this node answers for a node's tickets and claims. */
-  public boolean answersFor(String node) {
-    return held(node).isPresent();
+  /** Returns whether this node is responsible for the tickets and claims of the given node. */
+  public boolean isResponsibleFor(String node) {
+    return authorityOf(node).isPresent();
   }
 
-  /** Returns what a ticket is worth whose home this node answers for. */
-  public Worth worth(String ticket) {
+  /** Verifies a ticket whose home this node is responsible for. */
+  public Validity verify(String ticket) {
     Matcher parts = parse(ticket);
-    Held held = held(parts.group(1)).orElseThrow();
+    HeldAuthority held = authorityOf(parts.group(1)).orElseThrow();
     String body = ticket.substring(0, ticket.lastIndexOf('!'));
     if (!sign(body, held.authority()).equals(parts.group(4))) {
-      return Worth.FORGED;
+      return Validity.FORGED;
     }
     long age = now() - held.offsetMillis() - Long.parseLong(parts.group(3));
-    return age <= limits.ticketValidity().toMillis() ? Worth.VALID : Worth.EXPIRED;
+    return age <= limits.ticketValidity().toMillis() ? Validity.VALID : Validity.EXPIRED;
   }
 
   private static String sign(String body, TicketAuthority authority) {
@@ -100,19 +102,20 @@
         .substring(0, SIGNATURE_DIGITS);
   }
 
-  private synchronized Optional<Held> held(String node) {
+  private synchronized Optional<HeldAuthority> authorityOf(String node) {
     return Optional.ofNullable(authorities.get(node));
   }
 
-  /** Takes another node's authority over; its clock goes on from where it was. */
-  public synchronized void adopt(TicketAuthority authority) {
-    authorities.put(authority.identity(), new Held(authority, now() - authority.clockMillis()));
+  /** Adds the authority of another node; the age of its tickets is computed from its clock. */
+  public synchronized void addAuthority(TicketAuthority authority) {
+    authorities.put(
+        authority.identity(), new HeldAuthority(authority, now() - authority.clockMillis()));
   }
 
-  /** Returns every authority held, as of now. */
+  /** Returns all authorities, with their clocks advanced to the present. */
   public synchronized ImmutableList<TicketAuthority> authorities() {
     ImmutableList.Builder<TicketAuthority> all = ImmutableList.builder();
-    for (Held held : authorities.values()) {
+    for (HeldAuthority held : authorities.values()) {
       TicketAuthority authority = held.authority();
       all.add(
           new TicketAuthority(
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/package-info.java
@@ -1,8 +1,9 @@
 /**
- * What is known of requests that may run at most once: tickets, claims and their records.
+ * At-most-once execution of requests: tickets, claims of idempotency keys, and records.
  *
- * <p>Decides whether a repeat runs, joins the running one or gets the stored answer. Input: tickets
- * that this node issued, claims in the store's shard documents, answers. Asked by {@code
- * OnceService} and {@code ClaimDesk} of {@code vaneworksd}; knows no peers.
+ * <p>Decides whether a repeated request runs, joins the running request or receives the recorded
+ * answer. Decisions depend on the tickets that this node issued, the claims in the shard documents
+ * of the store, and the recorded answers. Used by {@code OnceService} and {@code ClaimService} of
+ * {@code vaneworksd}; does not depend on peers.
  */
 package org.vaneworks.coordination.once;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/package-info.java
@@ -1,10 +1,13 @@
 /**
- * Decisions: admission, routing, retries, pipelines, claims, membership, configuration spread.
+ * The decision logic of a node: admission, routing, retries, pipelines, claims, membership and the
+ * replication of the configuration.
  *
- * <p>Nothing here opens a socket, reads a wall clock or draws hidden randomness. The outside is
- * reached through functional interfaces, time through {@link io.servicetalk.concurrent.Executor}.
+ * <p>The code in this package and its subpackages opens no sockets, reads no wall clock and creates
+ * no random generators. It accesses external services through functional interfaces, and time
+ * through {@link io.servicetalk.concurrent.Executor}.
  *
- * <p>Lock order, outermost first: a stream's run, admission, the endpoint table, one endpoint's
- * state. Call-backs to callers and to the outside are made with no lock of an inner rank held.
+ * <p>Lock order, outermost first: the run of a stream, admission, the endpoint table, the state of
+ * one endpoint. Callbacks to callers and to external services are invoked without holding any of
+ * the inner locks.
  */
 package org.vaneworks.coordination;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/AnswerSink.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/AnswerSink.java
@@ -3,17 +3,18 @@
 import org.vaneworks.state.Refusal;
 
 /**
- * Takes a completion's answer in order: tokens, then exactly one end.
+ * Receives the answer of a completion: any number of tokens in order, followed by exactly one call
+ * of {@link #complete} or {@link #failed}.
  *
  * <p>Calls never overlap. Implementations must not block.
  */
 public interface AnswerSink {
-  /** Takes the next token's text. */
+  /** Receives the text of the next token. */
   void token(String text);
 
-  /** Takes the end of a whole answer. */
+  /** Called once after the last token of a complete answer. */
   void complete();
 
-  /** Takes the end of an answer that is not whole. */
+  /** Called once if the answer ends early, with the reason. */
   void failed(Refusal refusal);
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/Hop.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/Hop.java
@@ -7,16 +7,17 @@
 import org.vaneworks.coordination.endpoints.SessionId;
 
 /**
- * One engine's part of a running stream: its session, and the inputs that could rebuild it.
+ * The part of a running stream that one engine computes: its session, and the step inputs from
+ * which the session can be rebuilt on another engine.
  *
- * <p>Not thread-safe; the stream's lock guards it.
+ * <p>Not thread-safe; guarded by the lock of the {@link StreamRun}.
  */
 final class Hop {
   private final EndpointState engine;
   private final SessionId session;
   private final List<String> inputs;
   private int stepsRun;
-  private boolean givenUp;
+  private boolean released;
 
   private Hop(EndpointState engine, SessionId session, List<String> inputs, int stepsRun) {
     this.engine = engine;
@@ -25,19 +26,19 @@
     this.stepsRun = stepsRun;
   }
 
-  /** Returns a hop whose session is yet to be opened. */
-  static Hop fresh(EndpointState engine, SessionId session) {
+  /** Returns a hop with a new session that has run no step. */
+  static Hop create(EndpointState engine, SessionId session) {
     return new Hop(engine, session, ImmutableList.of(), 0);
   }
 
-  /** Returns a hop whose session is yet to be rebuilt from the inputs that another hop had. */
-  static Hop inPlaceOf(Hop lost, EndpointState engine, SessionId session) {
+  /** Returns a hop whose session is to be rebuilt from the inputs of the lost hop. */
+  static Hop replacementFor(Hop lost, EndpointState engine, SessionId session) {
     return new Hop(engine, session, lost.inputs, 0);
   }
 
-  /** Returns a hop into which another's session was imported. */
-  static Hop importedFrom(Hop moved, EndpointState engine, SessionId session) {
-    return new Hop(engine, session, moved.inputs, moved.stepsRun);
+  /** Returns a hop whose session was imported from the engine of another hop. */
+  static Hop importedFrom(Hop source, EndpointState engine, SessionId session) {
+    return new Hop(engine, session, source.inputs, source.stepsRun);
   }
 
   EndpointState engine() {
@@ -52,12 +53,12 @@
     return stepsRun;
   }
 
-  void ranThrough(int step) {
+  void recordStep(int step) {
     stepsRun = step + 1;
   }
 
-  /** Remembers the input of a step; a step that is sent again has the same input. */
-  void input(int step, String input) {
+  /** Stores the input of a step unless it is already stored; a resent step has the same input. */
+  void storeInput(int step, String input) {
     if (inputs.size() == step) {
       inputs.add(input);
     }
@@ -67,32 +68,32 @@
     return inputs.get(step);
   }
 
-  /** Returns whether the inputs of all steps before the given one are known. */
-  boolean knowsInputsBefore(int step) {
+  /** Returns whether the inputs of all steps before the given one are stored. */
+  boolean hasInputsBefore(int step) {
     return inputs.size() >= step;
   }
 
-  /** Takes the inputs of the steps before, which the hop before this one put out again. */
-  void adoptHistory(List<String> history) {
+  /** Stores the inputs of earlier steps, as recomputed by the previous hop, if none are stored. */
+  void restoreInputs(List<String> history) {
     if (inputs.isEmpty()) {
       inputs.addAll(history);
     }
   }
 
-  /** Returns what the session misses before it can run the step. */
-  ImmutableList<String> missingBefore(int step) {
+  /** Returns the inputs that the session must replay before it can run the step. */
+  ImmutableList<String> inputsToReplay(int step) {
     return stepsRun == step ? ImmutableList.of() : ImmutableList.copyOf(inputs.subList(0, step));
   }
 
-  /** Marks the session as given up for good; returns whether this was news. */
-  boolean giveUp() {
-    boolean news = !givenUp;
-    givenUp = true;
-    return news;
+  /** Marks the session as released; returns whether it was not released before. */
+  boolean markReleased() {
+    boolean newlyReleased = !released;
+    released = true;
+    return newlyReleased;
   }
 
-  /** Forgets the inputs, so that only a whole new route can rebuild; frees their memory. */
-  void forgetInputs() {
+  /** Discards the stored inputs to free memory; only a whole new route can then be rebuilt. */
+  void discardInputs() {
     inputs.clear();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/PipelineContext.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/PipelineContext.java
@@ -8,14 +8,14 @@
 import org.vaneworks.telemetry.Counters;
 
 /**
- * What every stream of a node works with.
+ * The components of a node that all its streams share.
  *
  * @param executor worker pool, timers and clock
- * @param client calls to engines
- * @param table the engines
- * @param planner finds routes
- * @param admission decides when a stream starts
- * @param retries the node's budget of retries after refusals for overload
+ * @param client sends calls to engines
+ * @param table the known engines
+ * @param planner plans routes
+ * @param admission decides when a stream may start
+ * @param retries the node's retry budget, spent on retries after an engine reported overload
  * @param limits bounds on one stream
  * @param counters the node's counters
  */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/PipelineDriver.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/PipelineDriver.java
@@ -13,7 +13,7 @@
 /**
  * Runs completions over pipelines of engines.
  *
- * <p>This node calls each hop in turn, so it knows exactly what ran; see docs/design/0003.
+ * <p>This node calls each hop itself, so it always knows which steps ran; see docs/design/0003.
  * Thread-safe.
  */
 public final class PipelineDriver {
@@ -30,21 +30,21 @@
   }
 
   /**
-   * Returns a driver with no streams.
+   * Creates a driver with no streams.
    *
-   * @param node this node's name with its incarnation
-   * @param random seeded source of the streams' nonces
+   * @param node name and incarnation of this node
+   * @param random source of the nonces in stream identifiers
    */
   public static PipelineDriver create(PipelineContext context, String node, Random random) {
-    checkArgument(!node.isEmpty(), "the node must be named");
+    checkArgument(!node.isEmpty(), "node must not be empty");
     return new PipelineDriver(context, node, random);
   }
 
   /**
    * Starts a completion.
    *
-   * @param sink takes the answer, from this call on
-   * @return cancels the stream on every hop when run, for a caller that is gone
+   * @param sink receives the answer; may be called before this method returns
+   * @return a task that cancels the stream on every hop, to be run when the caller disconnects
    */
   public Runnable run(CompletionRequest request, AnswerSink sink) {
     StreamId id = new StreamId(node, sequence.incrementAndGet(), random.nextLong());
@@ -54,7 +54,7 @@
     return run::cancel;
   }
 
-  /** Returns how many streams wait or run. */
+  /** Returns the number of streams that are queued or running. */
   public int inFlight() {
     return running.size();
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/PipelineLimits.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/PipelineLimits.java
@@ -5,22 +5,29 @@
 import java.time.Duration;
 
 /**
- * Bounds on one stream.
+ * Limits that apply to each stream.
  *
- * @param maxReplacements how often parts of one stream's route are replaced
- * @param recoveryPatience how long a stream waits for any route after a loss
- * @param moveOver expected rest of a stream over which it is moved off a leaving engine
- * @param replayCharacters inputs kept for rebuilding one stream's hops
+ * @param maxReplacements maximum number of times that parts of a stream's route are replaced
+ * @param recoveryTimeout how long a stream waits for any route after it lost an engine
+ * @param migrationThreshold expected remaining duration from which on a stream is migrated off an
+ *     engine that is leaving; shorter streams finish there
+ * @param replayCharacters maximum number of characters of step inputs kept per stream for
+ *     rebuilding its hops
  */
 public record PipelineLimits(
-    int maxReplacements, Duration recoveryPatience, Duration moveOver, int replayCharacters) {
-  /** Checks the bounds. */
+    int maxReplacements,
+    Duration recoveryTimeout,
+    Duration migrationThreshold,
+    int replayCharacters) {
+  /** Checks the limits. */
   public PipelineLimits {
-    checkArgument(maxReplacements >= 0, "maxReplacements: %s", maxReplacements);
-    checkArgument(replayCharacters >= 0, "replayCharacters: %s", replayCharacters);
+    checkArgument(
+        maxReplacements >= 0, "maxReplacements must not be negative: %s", maxReplacements);
+    checkArgument(
+        replayCharacters >= 0, "replayCharacters must not be negative: %s", replayCharacters);
   }
 
-  /** Returns the bounds that hold unless settings say otherwise. */
+  /** Returns the default limits. */
   public static PipelineLimits defaults() {
     return new PipelineLimits(16, Duration.ofSeconds(10), Duration.ofSeconds(2), 4 << 20);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/RetryBudget.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/RetryBudget.java
@@ -5,10 +5,11 @@
 import com.google.errorprone.annotations.concurrent.GuardedBy;
 
 /**
- * Bounds a node's retries to a share of its first attempts.
+ * Limits a node's retries to a fraction of its first attempts.
  *
- * <p>When everything fails, each attempt earns only its share of a retry, so the load that retries
- * add stays at that share. A small reserve lets a quiet node retry. Thread-safe.
+ * <p>Each first attempt deposits a fraction of a retry. Even if every attempt fails, retries
+ * increase the load by no more than that fraction. A small reserve lets a node with little traffic
+ * retry. Thread-safe.
  */
 public final class RetryBudget {
   private final double share;
@@ -24,10 +25,10 @@
   }
 
   /**
-   * Returns a full budget.
+   * Creates a budget whose reserve is full.
    *
-   * @param share retries earned by one first attempt, 0 to 1
-   * @param reserve most retries saved up
+   * @param share retries deposited by one first attempt, 0 to 1
+   * @param reserve maximum number of retries held in the budget
    */
   public static RetryBudget of(double share, double reserve) {
     checkArgument(share >= 0 && share <= 1, "share must be 0 to 1: %s", share);
@@ -35,13 +36,13 @@
     return new RetryBudget(share, reserve);
   }
 
-  /** Takes note of a first attempt. */
-  public synchronized void earn() {
+  /** Deposits the share of a first attempt. */
+  public synchronized void deposit() {
     balance = Math.min(reserve, balance + share);
   }
 
-  /** Takes one retry out of the budget; returns false if it is spent. */
-  public synchronized boolean spend() {
+  /** Withdraws one retry; returns false, and withdraws nothing, if the budget is exhausted. */
+  public synchronized boolean tryWithdraw() {
     if (balance < 1) {
       return false;
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/StreamHops.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/StreamHops.java
@@ -12,10 +12,10 @@
 import org.vaneworks.telemetry.EventLog;
 
 /**
- * The hops of one running stream, in layer order, and the epoch of the newest.
+ * The hops of one running stream, in layer order, and the epoch of the most recent change.
  *
- * <p>Each change of hops counts the stream in and out on the engines and ends the sessions that are
- * given up. Not thread-safe; the stream's lock guards it.
+ * <p>Each change updates the in-flight counts of the affected engines and ends sessions that are no
+ * longer used. Not thread-safe; guarded by the lock of the {@link StreamRun}.
  */
 final class StreamHops {
   private final StreamId id;
@@ -31,9 +31,9 @@
     this.replayLimit = replayLimit;
   }
 
-  /** Takes the first route, on whose engines admission has counted the stream in. */
-  void begin(PlannedRoute route) {
-    hops = fresh(route);
+  /** Sets the initial route. Admission has already incremented the counts of its engines. */
+  void start(PlannedRoute route) {
+    hops = createHops(route);
   }
 
   Hop get(int index) {
@@ -48,112 +48,114 @@
     return epoch;
   }
 
-  /** Returns whether no hop ran any step yet. */
+  /** Returns whether no hop has run a step yet. */
   boolean neverRan() {
     return hops.stream().allMatch(hop -> hop.stepsRun() == 0);
   }
 
   /**
-   * Keeps a step's input for a rebuild, within bounds.
+   * Stores the input of a step for a later rebuild.
    *
-   * <p>The first hop's inputs are the prompt and the tokens, which a whole new route can always be
-   * rebuilt from; only the other hops' inputs are given up when they grow too large.
+   * <p>If the stored inputs exceed the limit, those of all hops but the first are discarded. The
+   * inputs of the first hop are the prompt and the tokens, from which a whole new route can always
+   * be rebuilt.
    */
-  void remember(Hop hop, int step, String input) {
-    hop.input(step, input);
+  void storeInput(Hop hop, int step, String input) {
+    hop.storeInput(step, input);
     replayCharacters += input.length();
     if (replayCharacters > replayLimit) {
-      // A hop that is yet to be rebuilt still needs them.
-      hops.stream().skip(1).filter(each -> each.stepsRun() > 0).forEach(Hop::forgetInputs);
+      // A hop whose session is yet to be rebuilt still needs its inputs.
+      hops.stream().skip(1).filter(other -> other.stepsRun() > 0).forEach(Hop::discardInputs);
       replayCharacters = 0;
     }
   }
 
   /**
-   * Gives the place of a lost hop back; what could rebuild it is kept.
+   * Releases the session of a lost hop, keeping the inputs from which it can be rebuilt.
    *
-   * <p>While it counts on its engine, the engine could not be probed, nor this stream return there.
+   * <p>As long as the stream counts as in flight on the engine, the engine can't be probed and the
+   * stream can't return to it.
    */
-  void lose(int index) {
-    giveUp(hops.get(index));
+  void releaseLost(int index) {
+    releaseHop(hops.get(index));
   }
 
-  /** Puts a route over the same layers in place of one lost hop, under a new epoch. */
-  void replace(int index, PlannedRoute part, int step) {
+  /** Replaces one lost hop by a route over the same layers, under a new epoch. */
+  void replace(int index, PlannedRoute route, int step) {
     epoch++;
     Hop lost = hops.get(index);
-    List<Hop> replacement = inPlaceOf(lost, part);
+    List<Hop> replacement = replacementFor(lost, route);
     hops.remove(index);
     hops.addAll(index, replacement);
-    giveUp(lost);
-    log(step, replacement.size());
+    releaseHop(lost);
+    logReplacement(step, replacement.size());
   }
 
-  /** Puts a whole new route in place of all hops, under a new epoch. */
+  /** Replaces all hops by a new route, under a new epoch. */
   void replaceAll(PlannedRoute route, int step) {
     epoch++;
-    List<Hop> old = hops;
-    hops = inPlaceOf(old.get(0), route);
-    old.forEach(this::giveUp);
-    log(step, hops.size());
+    List<Hop> previous = hops;
+    hops = replacementFor(previous.get(0), route);
+    previous.forEach(this::releaseHop);
+    logReplacement(step, hops.size());
   }
 
-  private List<Hop> inPlaceOf(Hop lost, PlannedRoute route) {
-    List<Hop> replacement = fresh(route);
+  private List<Hop> replacementFor(Hop lost, PlannedRoute route) {
+    List<Hop> replacement = createHops(route);
     Hop first = replacement.get(0);
-    replacement.set(0, Hop.inPlaceOf(lost, first.engine(), first.session()));
+    replacement.set(0, Hop.replacementFor(lost, first.engine(), first.session()));
     replacement.forEach(hop -> hop.engine().streamStarted());
     return replacement;
   }
 
-  private void log(int step, int count) {
+  private void logReplacement(int step, int count) {
     EventLog.info(Event.HOP_REPLACED, "stream", id, "epoch", epoch, "step", step, "hops", count);
   }
 
-  /** Names a session for a move to another engine, under a new epoch, and counts the stream in. */
-  SessionId beginMove(EndpointState target) {
+  /** Returns the session for a migration to the target, under a new epoch, and counts it there. */
+  SessionId beginMigration(EndpointState target) {
     epoch++;
     target.streamStarted();
-    return sessionOn(target);
+    return newSession(target);
   }
 
-  /** Puts the session that was imported in place of a hop. */
-  void endMove(int index, EndpointState target, SessionId session) {
-    Hop from = hops.get(index);
-    hops.set(index, Hop.importedFrom(from, target, session));
-    giveUp(from);
+  /** Replaces a hop by the imported session. */
+  void completeMigration(int index, EndpointState target, SessionId session) {
+    Hop source = hops.get(index);
+    hops.set(index, Hop.importedFrom(source, target, session));
+    releaseHop(source);
     EventLog.info(Event.HOP_MOVED, "stream", id, "epoch", epoch, "to", target.endpoint().id());
   }
 
-  /** Takes a move back that did not succeed; the stream stays where it is. */
-  void undoMove(EndpointState target, SessionId session) {
-    giveUp(Hop.fresh(target, session));
+  /** Releases the session of a failed migration; the stream continues on its current engine. */
+  void abortMigration(EndpointState target, SessionId session) {
+    releaseHop(Hop.create(target, session));
   }
 
-  /** Ends every session. */
-  void release() {
-    hops.forEach(this::giveUp);
+  /** Ends all sessions. */
+  void releaseAll() {
+    hops.forEach(this::releaseHop);
     hops = new ArrayList<>();
   }
 
-  private List<Hop> fresh(PlannedRoute route) {
-    List<Hop> fresh = new ArrayList<>();
+  private List<Hop> createHops(PlannedRoute route) {
+    List<Hop> created = new ArrayList<>();
     for (EndpointState engine : route.engines()) {
-      fresh.add(Hop.fresh(engine, sessionOn(engine)));
+      created.add(Hop.create(engine, newSession(engine)));
     }
-    return fresh;
+    return created;
   }
 
-  private SessionId sessionOn(EndpointState engine) {
+  private SessionId newSession(EndpointState engine) {
     return new SessionId(id, epoch, engine.endpoint().layers().get());
   }
 
-  private void giveUp(Hop hop) {
-    if (!hop.giveUp()) {
+  private void releaseHop(Hop hop) {
+    if (!hop.markReleased()) {
       return;
     }
     hop.engine().streamEnded();
-    // Best effort: an engine that can't be reached frees an idle session by its own timeout.
+    // Best effort: an unreachable engine frees idle sessions after its own timeout.
     Async.ignore(client.end(hop.engine().endpoint(), hop.session()));
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/StreamMeter.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/StreamMeter.java
@@ -4,7 +4,10 @@
 import org.vaneworks.coordination.routing.RouteQuery;
 import org.vaneworks.telemetry.Metric;
 
-/** Measures one stream's tokens. Not thread-safe; the stream's lock guards it. */
+/**
+ * Records the token latencies of one stream. Not thread-safe; guarded by the lock of the {@link
+ * StreamRun}.
+ */
 final class StreamMeter {
   private static final long NONE = -1;
 
@@ -20,12 +23,12 @@
     this.startedAt = startedAt;
   }
 
-  /** Takes note of a token that was accepted. */
-  void token(long now) {
+  /** Records a token that was accepted at the given time. */
+  void recordToken(long now) {
     if (lastTokenAt == NONE) {
       context.counters().record(Metric.FIRST_TOKEN, Duration.ofNanos(now - startedAt));
     } else {
-      between(Duration.ofNanos(now - lastTokenAt));
+      recordGap(Duration.ofNanos(now - lastTokenAt));
     }
     if (lostAt != NONE) {
       context.counters().record(Metric.RECOVERY, Duration.ofNanos(now - lostAt));
@@ -35,19 +38,19 @@
     context.counters().count(Metric.TOKENS, query.model());
   }
 
-  private void between(Duration gap) {
+  private void recordGap(Duration gap) {
     context.counters().record(Metric.BETWEEN_TOKENS, gap);
     boolean late = gap.compareTo(query.betweenTokens()) > 0;
-    context.admission().tokenCame(query.model(), late);
+    context.admission().recordToken(query.model(), late);
   }
 
-  /** Takes note of a loss; the first one until the next token counts. */
-  void lost(long now) {
+  /** Records a lost engine; recovery time counts from the first loss after the last token. */
+  void recordLoss(long now) {
     lostAt = lostAt == NONE ? now : lostAt;
   }
 
-  /** Returns the mean time for a token so far, in nanoseconds. */
-  double pace(long now, int tokens) {
+  /** Returns the mean time per token so far, in nanoseconds. */
+  double meanTokenNanos(long now, int tokens) {
     return (double) (now - startedAt) / Math.max(1, tokens);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/StreamRun.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/StreamRun.java
@@ -36,30 +36,32 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * One completion on its way through the hops.
+ * Runs one completion over the hops of its route.
  *
- * <p>At any time at most one attempt is current. An answer counts only if it belongs to the current
- * attempt and matches it in stream, epoch, step and layers; everything else is dropped. Silence
- * does not end an attempt: it stays current until a replacement takes over. After an attempt whose
- * outcome is unknown its session is never used again: the replacement runs under a new epoch. So
- * within the lineages that make up the answer every layer runs exactly once a token.
+ * <p>At most one attempt is current at any time. An answer is accepted only if it belongs to the
+ * current attempt and matches it in stream, epoch, step and layers; all other answers are dropped.
+ * An attempt without an answer is not cancelled: it stays current until a replacement takes over. A
+ * session whose last attempt has an unknown outcome is never used again, because the replacement
+ * runs under a new epoch. As a result, every layer runs exactly once per token in the sessions that
+ * produce the answer.
  *
- * <p>Thread-safe. The lock is the outermost; calls to the sink are made under it, which keeps them
- * in order.
+ * <p>Thread-safe. The lock of this class is the outermost in the lock order. The sink is called
+ * with the lock held, which keeps its calls in order.
  */
 final class StreamRun {
-  private static final Duration RECOVERY_RECHECK = Duration.ofMillis(25);
+  /** Interval between attempts to plan a replacement route. */
+  private static final Duration RECOVERY_RETRY_INTERVAL = Duration.ofMillis(25);
 
-  /** How often a place is sought for hops on leaving engines. */
-  private static final Duration MOVE_RECHECK = Duration.ofMillis(250);
+  /** Interval between attempts to plan a migration off a leaving engine. */
+  private static final Duration MIGRATION_RETRY_INTERVAL = Duration.ofMillis(250);
 
   /** Cause of replacements and ejections. */
   private static final String LOST = "lost";
 
-  /** Outcome of calls that were left or given up for their silence. */
+  /** Outcome of calls that were replaced or abandoned because they made no progress. */
   private static final String NO_PROGRESS = "no-progress";
 
-  /** A call on its way: the answer must come for exactly this object. */
+  /** A call that was sent; its answer is accepted only while this object is current. */
   private static final class Attempt {
     private final int index;
     private final StepCall call;
@@ -73,11 +75,11 @@
     }
   }
 
-  /** A planned way around one hop, or a whole new route. */
-  private record WayAround(int index, boolean isWhole, PlannedRoute route) {}
+  /** A planned replacement of one hop, or of the whole route. */
+  private record Replacement(int index, boolean isWholeRoute, PlannedRoute route) {}
 
-  /** A hop on a leaving engine, and the engine to which its session can go. */
-  private record Move(int index, EndpointState target) {}
+  /** A hop on a leaving engine, and the engine to which its session is migrated. */
+  private record Migration(int index, EndpointState target) {}
 
   private final PipelineContext context;
   private final StreamId id;
@@ -108,13 +110,13 @@
   private int step;
 
   @GuardedBy("this")
-  private Verdict soFar = Verdict.NOT_RUN;
+  private Verdict combinedVerdict = Verdict.NOT_RUN;
 
   @GuardedBy("this")
   private int replacements;
 
   @GuardedBy("this")
-  private long movesSoughtAt;
+  private long lastMigrationAttempt;
 
   @GuardedBy("this")
   private Cancellable deadline = () -> {};
@@ -142,20 +144,20 @@
             ImmutableSet.of());
     this.hops = new StreamHops(id, context.client(), context.limits().replayCharacters());
     this.meter = new StreamMeter(context, query, now());
-    this.movesSoughtAt = now() - MOVE_RECHECK.toNanos();
+    this.lastMigrationAttempt = now() - MIGRATION_RETRY_INTERVAL.toNanos();
   }
 
   synchronized void start() {
-    context.retries().earn();
+    context.retries().deposit();
     admission = context.admission().admit(request, query);
     Async.onDone(
         admission,
         context.executor(),
-        (granted, failure) -> guarded(() -> admitted(granted, failure)));
-    request.deadline().ifPresent(limit -> deadline = after(limit, this::deadlinePassed));
+        (granted, failure) -> runGuarded(() -> onAdmitted(granted, failure)));
+    request.deadline().ifPresent(limit -> deadline = after(limit, this::onDeadline));
   }
 
-  /** Ends the stream for a caller that is gone; frees every hop. */
+  /** Ends the stream after its caller disconnected; ends the sessions of all hops. */
   synchronized void cancel() {
     if (!ended) {
       context.admission().withdraw(admission);
@@ -163,36 +165,36 @@
     }
   }
 
-  private synchronized void deadlinePassed() {
+  private synchronized void onDeadline() {
     if (!ended) {
       context.admission().withdraw(admission);
       fail(Reason.DEADLINE, "the deadline passed", Optional.empty());
     }
   }
 
-  private synchronized void admitted(Admission granted, Throwable failure) {
+  private synchronized void onAdmitted(Admission granted, Throwable failure) {
     if (granted == null) {
       if (!ended) {
         end(RefusalException.refusalOf(failure));
       }
       return;
     }
-    hops.begin(granted.route());
+    hops.start(granted.route());
     if (ended) {
-      hops.release();
+      hops.releaseAll();
       granted.release();
       return;
     }
     callHop(0, request.prompt());
   }
 
-  // Sending.
+  // Sending steps.
 
   @GuardedBy("this")
   private void callHop(int index, String input) {
     Hop hop = hops.get(index);
-    hops.remember(hop, step, input);
-    ImmutableList<String> history = hop.missingBefore(step);
+    hops.storeInput(hop, step, input);
+    ImmutableList<String> history = hop.inputsToReplay(step);
     StepCall call =
         new StepCall(
             hop.session(),
@@ -208,22 +210,22 @@
     Async.onDone(
         context.client().step(hop.engine().endpoint(), call),
         context.executor(),
-        (reply, failure) -> guarded(() -> answered(attempt, reply, failure)));
+        (reply, failure) -> runGuarded(() -> onAnswer(attempt, reply, failure)));
   }
 
   /**
-   * Plans a look at the attempt's progress.
+   * Schedules a check of the attempt's progress.
    *
-   * <p>A slow answer alone doesn't condemn an engine: while it answers other streams' steps it is
-   * busy, not frozen, and the attempt may take as long as the step timeout. A request that is not
-   * repeatable can't be helped by giving up early, so it always waits that long.
+   * <p>A slow answer is no reason to replace an engine that still answers steps of other streams:
+   * the engine is busy, and the attempt may take as long as the step timeout. A request that is not
+   * repeatable always waits for the step timeout, because it can't be sent to another engine.
    */
   @GuardedBy("this")
   private void watchProgress(Attempt attempt, long since) {
     EndpointState engine = hops.get(attempt.index).engine();
-    Duration patience =
+    Duration timeout =
         request.repeatable() ? engine.progressDeadline(attempt.call) : engine.stepTimeout();
-    attempt.timer = after(patience, () -> guarded(() -> checkProgress(attempt, engine, since)));
+    attempt.timer = after(timeout, () -> runGuarded(() -> checkProgress(attempt, engine, since)));
   }
 
   private synchronized void checkProgress(Attempt attempt, EndpointState engine, long since) {
@@ -233,11 +235,11 @@
     if (isBusyWithOthers(attempt, engine, since)) {
       watchProgress(attempt, now());
     } else if (!request.repeatable()) {
-      giveUpSilent(attempt, engine);
-    } else if (!leaveSilent(attempt, engine, now())) {
-      tellStaying(engine);
+      abandonAttempt(attempt, engine);
+    } else if (!tryReplaceEngine(attempt, engine, now())) {
+      reportNotReplaced(engine);
       excluded.clear();
-      seekElsewhereSoon(attempt, engine, now());
+      scheduleReplacementRetry(attempt, engine, now());
     }
   }
 
@@ -250,109 +252,113 @@
   }
 
   @GuardedBy("this")
-  private void giveUpSilent(Attempt attempt, EndpointState engine) {
+  private void abandonAttempt(Attempt attempt, EndpointState engine) {
     context.counters().count(Metric.HOP_CALLS, NO_PROGRESS);
-    lost(
+    onAttemptFailed(
         attempt,
         Refusal.mayHaveRun(Reason.ENDPOINT_LOST, "no progress on " + engine.endpoint().id()));
   }
 
-  // Silence.
+  // Replacing an engine that makes no progress.
 
   @GuardedBy("this")
-  private void seekElsewhereSoon(Attempt attempt, EndpointState engine, long since) {
+  private void scheduleReplacementRetry(Attempt attempt, EndpointState engine, long since) {
     attempt.timer =
-        after(RECOVERY_RECHECK, () -> guarded(() -> seekElsewhere(attempt, engine, since)));
+        after(
+            RECOVERY_RETRY_INTERVAL,
+            () -> runGuarded(() -> retryReplacement(attempt, engine, since)));
   }
 
   /**
-   * Seeks a replacement for a silent engine.
+   * Tries again to replace an engine that does not answer.
    *
-   * <p>Silence proves nothing, so the attempt goes on meanwhile: its answer counts, and so does the
-   * news that it failed. The bound is for calls that never end.
+   * <p>A missing answer does not prove that the attempt failed, so the attempt stays current until
+   * it is replaced: its answer or failure is still processed. The timeout covers calls that never
+   * end.
    */
-  private synchronized void seekElsewhere(Attempt attempt, EndpointState engine, long since) {
+  private synchronized void retryReplacement(Attempt attempt, EndpointState engine, long since) {
     if (ended || attempt != current) {
       return;
     }
     if (isBusyWithOthers(attempt, engine, since)) {
       watchProgress(attempt, now());
-    } else if (isPatienceOver(since) && isOverdue(attempt, engine)) {
-      giveUpSilent(attempt, engine);
-    } else if (!leaveSilent(attempt, engine, since)) {
-      seekElsewhereSoon(attempt, engine, since);
+    } else if (recoveryTimedOut(since) && isOverdue(attempt, engine)) {
+      abandonAttempt(attempt, engine);
+    } else if (!tryReplaceEngine(attempt, engine, since)) {
+      scheduleReplacementRetry(attempt, engine, since);
     }
   }
 
-  /** Leaves a silent engine, if a replacement is allowed and planned. */
+  /** Replaces an engine that does not answer, if a replacement is allowed and can be planned. */
   @GuardedBy("this")
-  private boolean leaveSilent(Attempt attempt, EndpointState engine, long since) {
-    if (!mayReplace()) {
+  private boolean tryReplaceEngine(Attempt attempt, EndpointState engine, long since) {
+    if (!replacementAllowed()) {
       return false;
     }
-    Optional<WayAround> way = wayAround(attempt.index, excludedWith(engine));
-    if (way.isEmpty() || way.get().route().isLastResort()) {
+    Optional<Replacement> replacement = planReplacement(attempt.index, excludedIncluding(engine));
+    if (replacement.isEmpty() || replacement.get().route().isLastResort()) {
       return false;
     }
     context.counters().count(Metric.HOP_CALLS, NO_PROGRESS);
-    soFar = soFar.and(Verdict.MAY_HAVE_RUN);
+    combinedVerdict = combinedVerdict.and(Verdict.MAY_HAVE_RUN);
     context.table().eject(engine, LOST);
-    noteReplacement(engine, LOST, since);
-    take(way.get());
+    recordReplacement(engine, LOST, since);
+    apply(replacement.get());
     return true;
   }
 
   @GuardedBy("this")
-  private ImmutableSet<EndpointId> excludedWith(EndpointState engine) {
+  private ImmutableSet<EndpointId> excludedIncluding(EndpointState engine) {
     return ImmutableSet.<EndpointId>builder().addAll(excluded).add(engine.endpoint().id()).build();
   }
 
   @GuardedBy("this")
-  private void tellStaying(EndpointState engine) {
-    String denial = mayReplace() ? "no-route" : "replacements-used";
+  private void reportNotReplaced(EndpointState engine) {
+    String denial = replacementAllowed() ? "no-route" : "replacements-used";
     context.counters().count(Metric.STAYS, NO_PROGRESS + "/" + denial);
     EventLog.info(
         Event.REQUEST_STAYS, "stream", id, "endpoint", engine.endpoint().id(), "denial", denial);
   }
 
-  // Answers.
+  // Processing answers.
 
-  private synchronized void answered(Attempt attempt, StepReply reply, Throwable failure) {
+  private synchronized void onAnswer(Attempt attempt, StepReply reply, Throwable failure) {
     if (ended || attempt != current) {
-      drop("late");
+      recordDropped("late");
       return;
     }
     attempt.timer.cancel();
     if (failure != null) {
       context.counters().count(Metric.HOP_CALLS, "failed");
-      lost(attempt, RefusalException.refusalOf(failure));
+      onAttemptFailed(attempt, RefusalException.refusalOf(failure));
     } else if (!reply.answers(attempt.call)) {
-      drop("foreign");
-      lost(attempt, Refusal.mayHaveRun(Reason.ENDPOINT_LOST, "a foreign answer came back"));
+      recordDropped("foreign");
+      onAttemptFailed(
+          attempt, Refusal.mayHaveRun(Reason.ENDPOINT_LOST, "a foreign answer came back"));
     } else {
       context.counters().count(Metric.HOP_CALLS, "answered");
       accept(attempt, reply);
     }
   }
 
-  private void drop(String why) {
-    context.counters().count(Metric.DROPPED_ANSWERS, why);
-    EventLog.info(Event.ANSWER_DROPPED, "stream", id, "why", why);
+  private void recordDropped(String reason) {
+    context.counters().count(Metric.DROPPED_ANSWERS, reason);
+    EventLog.info(Event.ANSWER_DROPPED, "stream", id, "why", reason);
   }
 
   @GuardedBy("this")
   private void accept(Attempt attempt, StepReply reply) {
     current = null;
-    soFar = Verdict.RAN;
+    combinedVerdict = Verdict.RAN;
     Hop hop = hops.get(attempt.index);
-    hop.ranThrough(step);
+    hop.recordStep(step);
     hop.engine().stepAnswered(attempt.call, Duration.ofNanos(now() - attempt.sentAt));
     if (step == 0) {
       hop.engine().promptCached(query.prefixes());
     }
     int next = attempt.index + 1;
     if (next < hops.size()) {
-      hops.get(next).adoptHistory(reply.historyOutputs());
+      hops.get(next).restoreInputs(reply.historyOutputs());
       callHop(next, reply.output());
       return;
     }
@@ -361,11 +367,11 @@
 
   @GuardedBy("this")
   private void acceptToken(String token) {
-    meter.token(now());
+    meter.recordToken(now());
     step++;
     sink.token(token);
     if (ended) {
-      return; // The sink cancelled: its caller stopped reading.
+      return; // The sink cancelled the stream because its caller stopped reading.
     }
     if (step == request.maxTokens()) {
       ended = true;
@@ -373,69 +379,71 @@
       cleanUp();
       return;
     }
-    Optional<Move> move = planMove();
-    if (move.isPresent()) {
-      move(move.get(), token);
+    Optional<Migration> migration = planMigration();
+    if (migration.isPresent()) {
+      migrate(migration.get(), token);
     } else {
       callHop(0, token);
     }
   }
 
-  // Loss and replacement.
+  // Replacing failed hops.
 
   @GuardedBy("this")
-  private void lost(Attempt attempt, Refusal why) {
+  private void onAttemptFailed(Attempt attempt, Refusal refusal) {
     attempt.timer.cancel();
     current = null;
     Hop hop = hops.get(attempt.index);
-    soFar = soFar.and(why.verdict());
-    boolean overloaded = why.reason() == Reason.ENDPOINT_OVERLOADED;
+    combinedVerdict = combinedVerdict.and(refusal.verdict());
+    boolean overloaded = refusal.reason() == Reason.ENDPOINT_OVERLOADED;
     if (!overloaded) {
-      context.table().eject(hop.engine(), why.verdict() == Verdict.NOT_RUN ? "refused" : LOST);
+      context.table().eject(hop.engine(), refusal.verdict() == Verdict.NOT_RUN ? "refused" : LOST);
     }
-    boolean neverRanHere = why.verdict() == Verdict.NOT_RUN && hop.stepsRun() == 0;
+    boolean neverRanHere = refusal.verdict() == Verdict.NOT_RUN && hop.stepsRun() == 0;
     if (!request.repeatable() && !neverRanHere) {
-      fail(Reason.ENDPOINT_LOST, why.detail(), Optional.empty());
-    } else if (overloaded && !context.retries().spend()) {
-      fail(Reason.RETRY_BUDGET, why.detail(), Optional.of(Duration.ofSeconds(1)));
-    } else if (!mayReplace()) {
-      fail(Reason.RECOVERY_EXHAUSTED, why.detail(), Optional.of(Duration.ofSeconds(1)));
+      fail(Reason.ENDPOINT_LOST, refusal.detail(), Optional.empty());
+    } else if (overloaded && !context.retries().tryWithdraw()) {
+      fail(Reason.RETRY_BUDGET, refusal.detail(), Optional.of(Duration.ofSeconds(1)));
+    } else if (!replacementAllowed()) {
+      fail(Reason.RECOVERY_EXHAUSTED, refusal.detail(), Optional.of(Duration.ofSeconds(1)));
     } else {
-      noteReplacement(hop.engine(), overloaded ? "overloaded" : LOST, now());
-      hops.lose(attempt.index);
+      recordReplacement(hop.engine(), overloaded ? "overloaded" : LOST, now());
+      hops.releaseLost(attempt.index);
       replace(attempt.index, now());
     }
   }
 
   @GuardedBy("this")
-  private boolean mayReplace() {
+  private boolean replacementAllowed() {
     return replacements < context.limits().maxReplacements();
   }
 
   @GuardedBy("this")
-  private void noteReplacement(EndpointState engine, String cause, long since) {
+  private void recordReplacement(EndpointState engine, String cause, long since) {
     replacements++;
-    meter.lost(since);
+    meter.recordLoss(since);
     excluded.add(engine.endpoint().id());
     context.counters().count(Metric.RETRIES, cause);
   }
 
   /**
-   * Replaces a lost hop, as little of the route as possible; waits if there is no way yet.
+   * Replaces a lost hop, keeping as much of the route as possible, and retries later if no
+   * replacement can be planned yet.
    *
-   * <p>A request that is not repeatable gets here only if the hop never ran, so no part runs twice;
-   * a whole new route would repeat the hops before it and is open to repeatable requests only.
+   * <p>For a request that is not repeatable this is called only if the hop never ran, so no part
+   * runs twice. A whole new route would rerun the hops before it, so it is planned only for
+   * repeatable requests, or if no hop ran.
    */
   private synchronized void replace(int index, long since) {
     if (ended) {
       return;
     }
-    Optional<WayAround> way = wayAround(index, excluded);
-    if (way.isPresent()) {
-      take(way.get());
+    Optional<Replacement> replacement = planReplacement(index, excluded);
+    if (replacement.isPresent()) {
+      apply(replacement.get());
       return;
     }
-    if (isPatienceOver(since)) {
+    if (recoveryTimedOut(since)) {
       fail(
           Reason.NO_ENDPOINT,
           "no live engines cover " + query.model(),
@@ -443,139 +451,145 @@
       return;
     }
     excluded.clear();
-    context.executor().schedule(() -> guarded(() -> replace(index, since)), RECOVERY_RECHECK);
+    context
+        .executor()
+        .schedule(() -> runGuarded(() -> replace(index, since)), RECOVERY_RETRY_INTERVAL);
   }
 
-  private boolean isPatienceOver(long since) {
-    return now() - since > context.limits().recoveryPatience().toNanos();
+  private boolean recoveryTimedOut(long since) {
+    return now() - since > context.limits().recoveryTimeout().toNanos();
   }
 
   @GuardedBy("this")
-  private boolean mayRestart() {
+  private boolean restartAllowed() {
     return request.repeatable() || hops.neverRan();
   }
 
   @GuardedBy("this")
-  private Optional<WayAround> wayAround(int index, Set<EndpointId> without) {
-    Optional<WayAround> part = wayAroundPart(index, without);
-    return part.isPresent() || !mayRestart() ? part : wholeWay(without);
+  private Optional<Replacement> planReplacement(int index, Set<EndpointId> excludedEngines) {
+    Optional<Replacement> hopReplacement = planHopReplacement(index, excludedEngines);
+    return hopReplacement.isPresent() || !restartAllowed()
+        ? hopReplacement
+        : planRouteReplacement(excludedEngines);
   }
 
   @GuardedBy("this")
-  private Optional<WayAround> wayAroundPart(int index, Set<EndpointId> without) {
-    Hop lost = hops.get(index);
-    if (!lost.knowsInputsBefore(step + 1)) {
+  private Optional<Replacement> planHopReplacement(int index, Set<EndpointId> excludedEngines) {
+    Hop lostHop = hops.get(index);
+    if (!lostHop.hasInputsBefore(step + 1)) {
       return Optional.empty();
     }
-    LayerRange range = lost.session().layers();
+    LayerRange range = lostHop.session().layers();
     return context
         .planner()
-        .plan(queryNow(range, without))
-        .map(route -> new WayAround(index, false, route));
+        .plan(remainingQuery(range, excludedEngines))
+        .map(route -> new Replacement(index, false, route));
   }
 
   @GuardedBy("this")
-  private Optional<WayAround> wholeWay(Set<EndpointId> without) {
+  private Optional<Replacement> planRouteReplacement(Set<EndpointId> excludedEngines) {
     return context
         .planner()
-        .plan(queryNow(query.span(), without))
-        .map(route -> new WayAround(0, true, route));
+        .plan(remainingQuery(query.span(), excludedEngines))
+        .map(route -> new Replacement(0, true, route));
   }
 
   @GuardedBy("this")
-  private void take(WayAround way) {
-    if (way.isWhole()) {
-      hops.replaceAll(way.route(), step);
+  private void apply(Replacement replacement) {
+    if (replacement.isWholeRoute()) {
+      hops.replaceAll(replacement.route(), step);
     } else {
-      hops.replace(way.index(), way.route(), step);
+      hops.replace(replacement.index(), replacement.route(), step);
     }
-    callHop(way.index(), hops.get(way.index()).input(step));
+    callHop(replacement.index(), hops.get(replacement.index()).input(step));
   }
 
   @GuardedBy("this")
-  private RouteQuery queryNow(LayerRange range, Set<EndpointId> without) {
-    RouteQuery part = query.covering(range, without);
-    return part.withWork(request.promptTokens() + step, request.maxTokens() - step);
+  private RouteQuery remainingQuery(LayerRange range, Set<EndpointId> excludedEngines) {
+    RouteQuery remaining = query.covering(range, excludedEngines);
+    return remaining.withWork(request.promptTokens() + step, request.maxTokens() - step);
   }
 
-  // Moving off a leaving engine.
+  // Migration off leaving engines.
 
-  /** Returns a move off a leaving engine for which another has been found. */
+  /** Plans a migration off a leaving engine, if another engine can take over its layers. */
   @GuardedBy("this")
-  private Optional<Move> planMove() {
-    if (now() - movesSoughtAt < MOVE_RECHECK.toNanos() || endsSoon()) {
+  private Optional<Migration> planMigration() {
+    if (now() - lastMigrationAttempt < MIGRATION_RETRY_INTERVAL.toNanos() || isNearlyDone()) {
       return Optional.empty();
     }
     for (int index = 0; index < hops.size(); index++) {
       EndpointState engine = hops.get(index).engine();
       if (engine.isLeaving() && !excluded.contains(engine.endpoint().id())) {
-        Optional<Move> move = moveOf(index);
-        if (move.isPresent()) {
-          return move;
+        Optional<Migration> migration = planMigrationOf(index);
+        if (migration.isPresent()) {
+          return migration;
         }
-        movesSoughtAt = now();
+        lastMigrationAttempt = now();
       }
     }
     return Optional.empty();
   }
 
   @GuardedBy("this")
-  private boolean endsSoon() {
-    double pace = meter.pace(now(), step);
-    return pace * (request.maxTokens() - step) < context.limits().moveOver().toNanos();
+  private boolean isNearlyDone() {
+    double meanTokenNanos = meter.meanTokenNanos(now(), step);
+    return meanTokenNanos * (request.maxTokens() - step)
+        < context.limits().migrationThreshold().toNanos();
   }
 
   @GuardedBy("this")
-  private Optional<Move> moveOf(int index) {
+  private Optional<Migration> planMigrationOf(int index) {
     LayerRange range = hops.get(index).session().layers();
     return context
         .planner()
-        .plan(queryNow(range, excluded))
+        .plan(remainingQuery(range, excluded))
         .filter(route -> route.engines().size() == 1)
         .filter(route -> !route.isLastResort())
-        .map(route -> new Move(index, route.engines().get(0)));
+        .map(route -> new Migration(index, route.engines().get(0)));
   }
 
-  /** Copies a hop's session to another engine; on any failure the stream stays where it is. */
+  /** Copies the session of a hop to another engine; the hop is kept if the copy fails. */
   @GuardedBy("this")
-  private void move(Move move, String token) {
-    Hop from = hops.get(move.index());
-    // A copy that failed is not tried again: each try holds the stream up.
-    excluded.add(from.engine().endpoint().id());
-    EndpointState engine = move.target();
-    SessionId session = hops.beginMove(engine);
+  private void migrate(Migration migration, String token) {
+    Hop source = hops.get(migration.index());
+    // A failed copy is not retried, because each attempt delays the stream.
+    excluded.add(source.engine().endpoint().id());
+    EndpointState engine = migration.target();
+    SessionId session = hops.beginMigration(engine);
     Async.onDone(
         context
             .client()
-            .exportSession(from.engine().endpoint(), from.session())
-            .thenCompose(export -> imported(engine, session, export)),
+            .exportSession(source.engine().endpoint(), source.session())
+            .thenCompose(export -> importSession(engine, session, export)),
         context.executor(),
-        (done, failure) -> guarded(() -> moved(move.index(), engine, session, token, failure)));
+        (done, failure) ->
+            runGuarded(() -> onMigrated(migration.index(), engine, session, token, failure)));
   }
 
-  private CompletableFuture<Void> imported(
+  private CompletableFuture<Void> importSession(
       EndpointState engine, SessionId session, SessionExport export) {
     return context.client().importSession(engine.endpoint(), session, export);
   }
 
-  private synchronized void moved(
+  private synchronized void onMigrated(
       int index, EndpointState engine, SessionId session, String token, Throwable failure) {
     if (ended || failure != null) {
-      hops.undoMove(engine, session);
+      hops.abortMigration(engine, session);
     } else {
-      hops.endMove(index, engine, session);
+      hops.completeMigration(index, engine, session);
     }
     if (!ended) {
       callHop(0, token);
     }
   }
 
-  // The end.
+  // Ending the stream.
 
-  /** Ends the stream with a refusal whose verdict is what is known of all attempts so far. */
+  /** Ends the stream with a refusal whose verdict covers all attempts so far. */
   @GuardedBy("this")
   private void fail(Reason reason, String detail, Optional<Duration> retryAfter) {
-    Verdict verdict = current == null ? soFar : soFar.and(Verdict.MAY_HAVE_RUN);
+    Verdict verdict = current == null ? combinedVerdict : combinedVerdict.and(Verdict.MAY_HAVE_RUN);
     Refusal refusal =
         switch (verdict) {
           case NOT_RUN -> Refusal.notRun(NotRunProof.ENDPOINT_REFUSED, reason, detail);
@@ -609,15 +623,15 @@
       current.timer.cancel();
       current = null;
     }
-    hops.release();
+    hops.releaseAll();
     Async.ignore(admission.thenAccept(Admission::release));
     onEnd.accept(this);
   }
 
-  /** Turns a fault of this program into a final answer instead of a stream that hangs. */
-  private void guarded(Runnable part) {
+  /** Runs a task and ends the stream if the task throws, so that a bug can't leave it hanging. */
+  private void runGuarded(Runnable task) {
     try {
-      part.run();
+      task.run();
     } catch (RuntimeException | AssertionError e) {
       EventLog.error(Event.REQUEST_FAILED_INSIDE, e);
       synchronized (this) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/requests/CallerOptions.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/requests/CallerOptions.java
@@ -7,13 +7,13 @@
 import org.vaneworks.state.Priority;
 
 /**
- * What a caller's headers say of a request.
+ * The options of a request that a caller sets with HTTP headers.
  *
- * @param repeatable whether it may run more than once, if the caller says so
- * @param key the caller's own idempotency key
- * @param ticket a ticket taken before
- * @param priority how urgent, if other than the workspace's default
- * @param deadline how long the caller waits
+ * @param repeatable whether the request may run more than once
+ * @param key idempotency key chosen by the caller
+ * @param ticket ticket that the caller obtained earlier
+ * @param priority priority, if other than the default of the workspace
+ * @param deadline how long the caller waits for the whole answer
  */
 public record CallerOptions(
     Optional<Boolean> repeatable,
@@ -21,12 +21,12 @@
     Optional<String> ticket,
     Optional<Priority> priority,
     Optional<Duration> deadline) {
-  /** The options of a caller that sends no header. */
+  /** The options of a request without any of the headers. */
   public static final CallerOptions NONE =
       new CallerOptions(
           Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty());
 
-  /** Checks that every part is given. */
+  /** Checks that the components are given. */
   public CallerOptions {
     checkNotNull(repeatable);
     checkNotNull(key);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/requests/CompletionBody.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/requests/CompletionBody.java
@@ -5,13 +5,13 @@
 import java.util.OptionalInt;
 
 /**
- * What a caller's completion says, before it is checked against the workspace.
+ * The body of a completion request, before it is validated against the workspace.
  *
  * @param prompt the whole prompt
- * @param maxTokens how many tokens the caller wants at most
+ * @param maxTokens maximum number of tokens to generate, if set by the caller
  */
 public record CompletionBody(String prompt, OptionalInt maxTokens) {
-  /** Checks that both parts are given. */
+  /** Checks that the components are given. */
   public CompletionBody {
     checkNotNull(prompt);
     checkNotNull(maxTokens);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/requests/CompletionRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/requests/CompletionRequest.java
@@ -9,14 +9,14 @@
 import org.vaneworks.state.WorkspacePlan;
 
 /**
- * A caller's completion, checked against its workspace.
+ * A completion request that was validated against its workspace.
  *
- * @param plan what the workspace is held to
+ * @param plan model, limits and latency bounds of the workspace
  * @param prompt the whole prompt
- * @param maxTokens how many tokens to make
+ * @param maxTokens number of tokens to generate
  * @param repeatable whether any part may run more than once
- * @param priority how urgent
- * @param deadline how long the caller waits for the whole answer, from now
+ * @param priority priority of the request
+ * @param deadline how long the caller waits for the whole answer
  */
 public record CompletionRequest(
     WorkspacePlan plan,
@@ -25,17 +25,17 @@
     boolean repeatable,
     Priority priority,
     Optional<Duration> deadline) {
-  /** Rough length of a token's text; only estimates depend on it. */
+  /** Approximate length of a token's text, used only for estimates. */
   private static final int CHARACTERS_PER_TOKEN = 4;
 
-  /** Checks the bounds. */
+  /** Checks the prompt and the number of tokens. */
   public CompletionRequest {
     checkNotNull(plan);
     checkArgument(!prompt.isEmpty(), "the prompt must not be empty");
     checkArgument(maxTokens > 0, "maxTokens must be positive: %s", maxTokens);
   }
 
-  /** Returns the prompt's estimated length in tokens. */
+  /** Returns the estimated length of the prompt in tokens, at least 1. */
   public int promptTokens() {
     return Math.max(1, prompt.length() / CHARACTERS_PER_TOKEN);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/requests/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/requests/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What callers of {@code vaneworksd} ask for: values that check themselves.
+ * Value types for the requests of callers of {@code vaneworksd}.
  *
- * <p>Built by the layers above from HTTP; read by admission, pipelines and at-most-once delivery.
- * Decides nothing.
+ * <p>Created from HTTP requests by the layers above; used by admission, pipelines and at-most-once
+ * execution. The constructors check their arguments.
  */
 package org.vaneworks.coordination.requests;
--- a/vaneworks/src/main/java/org/vaneworks/transport/CallerServer.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/CallerServer.java
@@ -89,7 +89,7 @@
   private Single<StreamingHttpResponse> failed(
       StreamingHttpRequest request, CallerResponses answers, Throwable failure) {
     Refusal refusal = refusalOf(failure);
-    node.gate().count(refusal);
+    node.dispatcher().count(refusal);
     StreamingHttpResponse response = answers.problem(refusal);
     if (refusal.reason() == Reason.METHOD_NOT_ALLOWED) {
       response.setHeader(HttpHeaderNames.ALLOW, allowedAt(request.path()).name());
@@ -143,7 +143,8 @@
             text -> {
               CallerJson.Parsed parsed = CallerJson.readCompletion(text);
               CompletionAnswer answer = new CompletionAnswer(answers, parsed.stream());
-              Runnable cancel = node.gate().complete(workspace, parsed.body(), options, answer);
+              Runnable cancel =
+                  node.dispatcher().complete(workspace, parsed.body(), options, answer);
               return answer.response(cancel);
             });
   }
@@ -160,7 +161,7 @@
               ServiceCall call =
                   new ServiceCall(request.method().name(), target, text, answers.requestId());
               CompletableFuture<ServiceReply> reply =
-                  node.gate().call(path.get(2), path.get(4), call, options);
+                  node.dispatcher().call(path.get(2), path.get(4), call, options);
               return Single.fromStage(reply).map(answers::relayed).onErrorReturn(answers::counted);
             });
   }
@@ -168,7 +169,7 @@
   private Single<StreamingHttpResponse> tickets(
       StreamingHttpRequest request, CallerResponses answers) {
     checkMethod(request);
-    return Single.fromStage(node.gate().tickets(ticketCount(request)))
+    return Single.fromStage(node.dispatcher().tickets(ticketCount(request)))
         .map(
             tickets -> answers.plain(HttpResponseStatus.OK, JSON, CallerJson.writeTickets(tickets)))
         .onErrorReturn(answers::counted);
