--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/CataloguesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/CataloguesTest.java
@@ -13,12 +13,12 @@
 import org.vaneworks.telemetry.Event;
 import org.vaneworks.telemetry.Metric;
 
-/** Compares the catalogues in docs with the code. */
+/** Tests that the catalogues of events, metrics and reasons under docs match the code. */
 final class CataloguesTest {
   private static final Path DOCS = Path.of("..", "docs");
 
   @Test
-  void everyEventIsListedAndNoOther() throws IOException {
+  void eventCatalogueMatchesTheCode() throws IOException {
     List<String> expected =
         Arrays.stream(Event.values())
             .map(event -> "| " + event.code() + " | " + event.name() + " | " + event.text() + " |")
@@ -27,13 +27,13 @@
   }
 
   @Test
-  void eventNumbersAreUnique() {
+  void eventCodesAreUnique() {
     long codes = Arrays.stream(Event.values()).map(Event::code).distinct().count();
     assertEquals(Event.values().length, codes);
   }
 
   @Test
-  void everyMeterIsListedAndNoOther() throws IOException {
+  void metricCatalogueMatchesTheCode() throws IOException {
     List<String> expected =
         Arrays.stream(Metric.values())
             .map(metric -> "| `" + metric.meter() + "` | " + metric.text() + " |")
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void everyReasonIsListedAndNoOther() throws IOException {
+  void reasonCatalogueMatchesTheCode() throws IOException {
     List<String> expected =
         Arrays.stream(Reason.values())
             .map(
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void everyScenarioOfTheProofsExists() throws IOException {
+  void everyScenarioListedInProofsExists() throws IOException {
     String features = "";
     try (var files = Files.walk(Path.of("src", "test", "resources", "features"))) {
       for (Path file : files.filter(Files::isRegularFile).toList()) {
@@ -70,9 +70,9 @@
     }
   }
 
-  private static List<String> rows(String page, String start) throws IOException {
+  private static List<String> rows(String page, String prefix) throws IOException {
     return Files.readAllLines(DOCS.resolve(page)).stream()
-        .filter(line -> line.startsWith(start))
+        .filter(line -> line.startsWith(prefix))
         .toList();
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/ConfigurationSchedule.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/ConfigurationSchedule.java
@@ -19,20 +19,20 @@
 import org.vaneworks.testlib.InMemoryFleet;
 
 /**
- * One random schedule of operators' changes while the store fails, loses answers and is slow, links
- * are cut, and nodes freeze, die and start. All from one seed.
+ * A random schedule, generated from a seed, of configuration changes and faults: the store fails,
+ * loses answers and is slow, links are cut, and nodes freeze, crash and start.
  */
 final class ConfigurationSchedule {
   private static final int NODES = 6;
-  private static final int SPAN_MILLIS = 30_000;
+  private static final int SCHEDULE_MILLIS = 30_000;
 
-  /** The two-year aim: in force everywhere within 17 s. */
-  private static final Duration IN_FORCE_WITHIN = Duration.ofSeconds(17);
+  /** Target: a change is active on every node within 17 s. */
+  private static final Duration MAX_PROPAGATION_TIME = Duration.ofSeconds(17);
 
   private final Random random;
   private final InMemoryFleet fleet;
   private final List<CompletableFuture<ConfigurationHead>> changes = new ArrayList<>();
-  private final Map<Node, List<Long>> seen = new LinkedHashMap<>();
+  private final Map<Node, List<Long>> versionsByNode = new LinkedHashMap<>();
   private final List<String> problems = new ArrayList<>();
   private int faults;
 
@@ -52,10 +52,10 @@
     fleet.settle();
     planChanges();
     planFaults();
-    fleet.clock().advance(Duration.ofMillis(SPAN_MILLIS));
-    mendAll();
-    fleet.clock().advance(IN_FORCE_WITHIN);
-    judge();
+    fleet.clock().advance(Duration.ofMillis(SCHEDULE_MILLIS));
+    clearFaults();
+    fleet.clock().advance(MAX_PROPAGATION_TIME);
+    check();
     int accepted =
         (int)
             changes.stream()
@@ -69,7 +69,7 @@
   private void start(String name) {
     Node node = fleet.addNode(name);
     List<Long> versions = new ArrayList<>();
-    seen.put(node, versions);
+    versionsByNode.put(node, versions);
     node.configuration().onChange(snapshot -> versions.add(snapshot.version()));
   }
 
@@ -79,7 +79,8 @@
       boolean sameTemplate = random.nextBoolean();
       int tokens = 10 + i;
       String workspace = "{kind: workspace, name: w" + i + ", template: t}";
-      later(() -> changes.add(fleet.apply(sameTemplate ? fleet.configuration(tokens) : workspace)));
+      scheduleRandomly(
+          () -> changes.add(fleet.apply(sameTemplate ? fleet.configuration(tokens) : workspace)));
     }
   }
 
@@ -90,11 +91,11 @@
       String other = "n" + (1 + random.nextInt(NODES));
       int kind = random.nextInt(6);
       int count = 1 + random.nextInt(4);
-      later(() -> bringAbout(kind, name, other, count));
+      scheduleRandomly(() -> inject(kind, name, other, count));
     }
   }
 
-  private void bringAbout(int kind, String name, String other, int count) {
+  private void inject(int kind, String name, String other, int count) {
     switch (kind) {
       case 0 -> fleet.store().down(true);
       case 1 -> fleet.store().loseAnswers(count);
@@ -108,7 +109,7 @@
     }
   }
 
-  private void mendAll() {
+  private void clearFaults() {
     fleet.store().down(false);
     fleet.store().loseAnswers(0);
     fleet.store().slow(Duration.ZERO);
@@ -118,11 +119,11 @@
     }
   }
 
-  private void later(Runnable task) {
-    fleet.clock().schedule(task, Duration.ofMillis(random.nextInt(SPAN_MILLIS)));
+  private void scheduleRandomly(Runnable task) {
+    fleet.clock().schedule(task, Duration.ofMillis(random.nextInt(SCHEDULE_MILLIS)));
   }
 
-  private void judge() {
+  private void check() {
     CompletableFuture<StoredConfiguration> load = fleet.editor().load();
     fleet.clock().runDue();
     ConfigurationHead head = load.join().head();
@@ -133,36 +134,39 @@
         problems.add("accepted version " + change.join().version() + " is lost");
       }
     }
-    judgeConflicts(head);
+    checkConflicts(head);
     Set<Long> versions = new HashSet<>();
     head.history().forEach(record -> versions.add(record.version()));
     if (versions.size() != head.history().size()) {
       problems.add("two changes made one version: " + head.history());
     }
-    seen.forEach(
+    versionsByNode.forEach(
         (node, each) -> {
           if (!Ordering.natural().isStrictlyOrdered(each)) {
             problems.add(node.settings().identity() + " went back: " + each);
           }
         });
-    judgeNodes(head);
+    checkNodes(head);
   }
 
-  /** A change that its operator was told is in conflict must not be in force. Numbered from 2. */
-  private void judgeConflicts(ConfigurationHead head) {
+  /**
+   * Checks that changes that were rejected with a conflict are not in the configuration. The
+   * identifiers of changes are numbered from 2.
+   */
+  private void checkConflicts(ConfigurationHead head) {
     for (int i = 0; i < changes.size(); i++) {
       CompletableFuture<ConfigurationHead> change = changes.get(i);
       if (!change.isCompletedExceptionally()) {
         continue;
       }
-      Throwable why = change.handle((done, failure) -> Async.causeOf(failure)).join();
-      if (why instanceof ConflictException && head.remembers("change-" + (i + 2))) {
+      Throwable failureCause = change.handle((done, failure) -> Async.causeOf(failure)).join();
+      if (failureCause instanceof ConflictException && head.remembers("change-" + (i + 2))) {
         problems.add("change-" + (i + 2) + " is in force, but was reported as in conflict");
       }
     }
   }
 
-  private void judgeNodes(ConfigurationHead head) {
+  private void checkNodes(ConfigurationHead head) {
     for (Node node : fleet.nodes()) {
       if (node.configuration().version() != head.version()) {
         problems.add(
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/ConfigurationSchedulesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/ConfigurationSchedulesTest.java
@@ -6,7 +6,7 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.lifecycle.AfterContainer;
 
-/** Runs random schedules of operators' changes. */
+/** Property test with random schedules of configuration changes. */
 final class ConfigurationSchedulesTest {
   private static final Schedules SCHEDULES = new Schedules("configuration");
 
@@ -15,7 +15,7 @@
       seed = Schedules.SEED,
       shrinking = ShrinkingMode.OFF,
       afterFailure = AfterFailureMode.PREVIOUS_SEED)
-  void acceptedChangesStayInForceUnderAnySchedule(@ForAll long seed) {
+  void acceptedChangesAreNeverLost(@ForAll long seed) {
     SCHEDULES.run(seed, ConfigurationSchedule::run);
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/DaemonSettingsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/DaemonSettingsTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.vaneworks.daemon.DaemonSettings;
 
-/** Checks that a settings file that is not accepted says which field and what is allowed. */
+/** Tests that the error for an invalid settings file names the field and the allowed values. */
 final class DaemonSettingsTest {
-  private static final String GOOD =
+  private static final String VALID =
       "name: n1\ndataCentre: dc1\ncallers: 127.0.0.1:0\npeers: 127.0.0.1:0\nplatform: 127.0.0.1:1\n";
 
   @TempDir private Path folder;
@@ -22,7 +22,7 @@
     return DaemonSettings.read(Files.writeString(folder.resolve("settings.yaml"), text));
   }
 
-  private void rejects(String text, String... parts) {
+  private void assertRejected(String text, String... parts) {
     IllegalArgumentException problem =
         assertThrows(IllegalArgumentException.class, () -> read(text));
     for (String part : parts) {
@@ -31,54 +31,54 @@
   }
 
   @Test
-  void defaultsHoldForWhatIsNotGiven() throws IOException {
-    assertEquals(4, read(GOOD).workers());
+  void missingOptionalFieldsHaveDefaults() throws IOException {
+    assertEquals(4, read(VALID).workers());
   }
 
   @Test
-  void unknownField() {
-    rejects(GOOD + "workerz: 3\n", "workerz", "not a known field");
+  void unknownFieldIsRejected() {
+    assertRejected(VALID + "workerz: 3\n", "workerz", "not a known field");
   }
 
   @Test
-  void unknownFieldInASection() {
-    rejects(GOOD + "stop: {lag: 3}\n", "stop.lag", "not a known field");
+  void unknownFieldInSectionIsRejected() {
+    assertRejected(VALID + "stop: {lag: 3}\n", "stop.lag", "not a known field");
   }
 
   @Test
-  void wrongType() {
-    rejects(GOOD + "workers: many\n", "workers", "integer", "1 to 256");
+  void wrongTypeIsRejected() {
+    assertRejected(VALID + "workers: many\n", "workers", "integer", "1 to 256");
   }
 
   @Test
-  void outOfBounds() {
-    rejects(GOOD + "workers: 0\n", "workers", "is 0", "1 to 256");
+  void valueOutOfBoundsIsRejected() {
+    assertRejected(VALID + "workers: 0\n", "workers", "is 0", "1 to 256");
   }
 
   @Test
-  void hostNameInPlaceOfAnIpNumber() {
-    rejects(GOOD.replace("127.0.0.1:1", "store.example:1"), "platform", "IP number");
+  void hostNameIsRejected() {
+    assertRejected(VALID.replace("127.0.0.1:1", "store.example:1"), "platform", "IP number");
   }
 
   @Test
-  void missingField() {
-    rejects(GOOD.replace("name: n1\n", ""), "name", "must be given");
+  void missingRequiredFieldIsRejected() {
+    assertRejected(VALID.replace("name: n1\n", ""), "name", "must be given");
   }
 
   @Test
-  void unknownEnumeration() {
-    rejects(GOOD + "routing: {policy: best}\n", "routing.policy", "predicted-time");
+  void unknownEnumValueIsRejected() {
+    assertRejected(VALID + "routing: {policy: best}\n", "routing.policy", "predicted-time");
   }
 
   @Test
-  void boundsThatContradictEachOther() {
-    rejects(GOOD + "stop: {balancerLagMs: 9, deadlineMs: 8}\n", "stop.balancerLagMs");
+  void contradictoryBoundsAreRejected() {
+    assertRejected(VALID + "stop: {balancerLagMs: 9, deadlineMs: 8}\n", "stop.balancerLagMs");
   }
 
   @Test
-  void everyProblemIsToldAtOnce() {
-    rejects(
-        GOOD.replace("name: n1\n", "") + "workers: 0\nstop: {lag: 3}\nwhat: 1\n",
+  void allProblemsAreReportedTogether() {
+    assertRejected(
+        VALID.replace("name: n1\n", "") + "workers: 0\nstop: {lag: 3}\nwhat: 1\n",
         "name: must be given",
         "workers: is 0",
         "stop.lag: is not a known field",
@@ -86,17 +86,18 @@
   }
 
   @Test
-  void sectionOfAWrongTypeIsToldBesideOthers() {
-    rejects(GOOD + "stop: 3\nworkers: many\n", "stop: must be an object", "workers: must be");
+  void sectionOfWrongTypeIsReportedWithOtherProblems() {
+    assertRejected(
+        VALID + "stop: 3\nworkers: many\n", "stop: must be an object", "workers: must be");
   }
 
   @Test
-  void notYaml() {
-    rejects("a: [", "not YAML");
+  void invalidYamlIsRejected() {
+    assertRejected("a: [", "not YAML");
   }
 
   @Test
-  void givenTwice() {
-    rejects(GOOD + "name: n2\n", "not YAML");
+  void duplicateFieldIsRejected() {
+    assertRejected(VALID + "name: n2\n", "not YAML");
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/KnownRedTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/KnownRedTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Checks which test results CI takes for red, given the list of known failures. */
+/** Tests how the CI script {@code known-red} evaluates test results against known failures. */
 final class KnownRedTest {
   private static final Path SCRIPT = Path.of("..", ".ci", "known-red").toAbsolutePath();
 
   @TempDir private Path folder;
 
-  private record Judged(int exitCode, String text) {}
+  private record Result(int exitCode, String text) {}
 
   @BeforeEach
-  void reportAPassAndTwoFailures() throws IOException {
+  void writeReportWithOnePassAndTwoFailures() throws IOException {
     Files.writeString(
         folder.resolve("TEST-sample.xml"),
         """
@@ -34,7 +34,7 @@
         """);
   }
 
-  private Judged judge(String... listed) throws Exception {
+  private Result runScript(String... listed) throws Exception {
     Path list = folder.resolve("list.txt");
     StringBuilder lines = new StringBuilder("# Class#method | cause | issue | command\n");
     for (String test : listed) {
@@ -46,42 +46,42 @@
             .redirectErrorStream(true)
             .start();
     String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    return new Judged(process.waitFor(), text);
+    return new Result(process.waitFor(), text);
   }
 
   @Test
-  void listedFailuresArePassedOverAndNamed() throws Exception {
-    Judged judged = judge("p.A#fails", "p.A#breaks");
-    assertEquals(0, judged.exitCode(), judged.text());
-    assertTrue(judged.text().contains("still red: p.A#fails"), judged.text());
-    assertTrue(judged.text().contains("still red: p.A#breaks"), judged.text());
+  void listedFailuresAreToleratedAndReported() throws Exception {
+    Result result = runScript("p.A#fails", "p.A#breaks");
+    assertEquals(0, result.exitCode(), result.text());
+    assertTrue(result.text().contains("still red: p.A#fails"), result.text());
+    assertTrue(result.text().contains("still red: p.A#breaks"), result.text());
   }
 
   @Test
-  void listedTestThatPassesIsNamed() throws Exception {
-    Judged judged = judge("p.A#fails", "p.A#breaks", "p.A#passes");
-    assertEquals(0, judged.exitCode(), judged.text());
-    assertTrue(judged.text().contains("to be taken off the list: p.A#passes"), judged.text());
+  void listedTestThatPassesIsReported() throws Exception {
+    Result result = runScript("p.A#fails", "p.A#breaks", "p.A#passes");
+    assertEquals(0, result.exitCode(), result.text());
+    assertTrue(result.text().contains("to be taken off the list: p.A#passes"), result.text());
   }
 
   @Test
-  void failureThatIsNotListedIsRed() throws Exception {
-    Judged judged = judge("p.A#fails");
-    assertEquals(1, judged.exitCode(), judged.text());
-    assertTrue(judged.text().contains("red and not listed: p.A#breaks"), judged.text());
+  void unlistedFailureFailsTheBuild() throws Exception {
+    Result result = runScript("p.A#fails");
+    assertEquals(1, result.exitCode(), result.text());
+    assertTrue(result.text().contains("red and not listed: p.A#breaks"), result.text());
   }
 
   @Test
-  void listedTestThatDidNotRunIsRed() throws Exception {
-    Judged judged = judge("p.A#fails", "p.A#breaks", "p.A#missing");
-    assertEquals(1, judged.exitCode(), judged.text());
-    assertTrue(judged.text().contains("did not run: p.A#missing"), judged.text());
+  void listedTestThatDidNotRunFailsTheBuild() throws Exception {
+    Result result = runScript("p.A#fails", "p.A#breaks", "p.A#missing");
+    assertEquals(1, result.exitCode(), result.text());
+    assertTrue(result.text().contains("did not run: p.A#missing"), result.text());
   }
 
   @Test
-  void fourListedTestsAreTooMany() throws Exception {
-    Judged judged = judge("p.A#fails", "p.A#breaks", "p.A#passes", "p.B#other");
-    assertEquals(1, judged.exitCode(), judged.text());
-    assertTrue(judged.text().contains("3 at most"), judged.text());
+  void moreThanThreeListedTestsFailTheBuild() throws Exception {
+    Result result = runScript("p.A#fails", "p.A#breaks", "p.A#passes", "p.B#other");
+    assertEquals(1, result.exitCode(), result.text());
+    assertTrue(result.text().contains("3 at most"), result.text());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/LayersTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/LayersTest.java
@@ -13,7 +13,7 @@
 import java.time.Instant;
 import java.util.Random;
 
-/** Checks that dependencies run downwards only, and that the core has no I/O. */
+/** Tests that dependencies follow the layer order and that the core performs no I/O. */
 @AnalyzeClasses(packages = "org.vaneworks", importOptions = ImportOption.DoNotIncludeTests.class)
 final class LayersTest {
   @ArchTest
@@ -46,7 +46,7 @@
           .mayNotBeAccessedByAnyLayer();
 
   @ArchTest
-  static final ArchRule NOTHING_NAMES_THE_PLATFORM =
+  static final ArchRule NOTHING_DEPENDS_ON_PLATFORM =
       noClasses()
           .that()
           .resideOutsideOfPackage("org.vaneworks.platform..")
@@ -55,12 +55,12 @@
           .resideInAPackage("org.vaneworks.platform..");
 
   @ArchTest
-  static final ArchRule THEMES_HAVE_NO_CIRCLE =
+  static final ArchRule COORDINATION_PACKAGES_HAVE_NO_CYCLES =
       slices().matching("org.vaneworks.coordination.(*)..").should().beFreeOfCycles();
 
-  /** What is not yet in a package of its own may use those that are, never the other way round. */
+  /** Classes directly in {@code coordination} may use its subpackages, but not vice versa. */
   @ArchTest
-  static final ArchRule THEMES_DO_NOT_USE_WHAT_HAS_NONE =
+  static final ArchRule COORDINATION_PACKAGES_DO_NOT_USE_THEIR_PARENT =
       noClasses()
           .that()
           .resideInAPackage("org.vaneworks.coordination.*..")
@@ -100,7 +100,7 @@
                               "org.vaneworks.coordination.concurrent..",
                               "org.vaneworks.coordination.store.."))));
 
-  /** Admission asks routing, and both know endpoints; nothing of it runs the other way. */
+  /** Admission depends on routing and requests, and not vice versa. */
   @ArchTest
   static final ArchRule ROUTING_AND_REQUESTS_DO_NOT_USE_ADMISSION =
       noClasses()
@@ -111,7 +111,7 @@
           .dependOnClassesThat()
           .resideInAPackage("org.vaneworks.coordination.admission..");
 
-  /** A pipeline is told its route and its budget; it knows neither placement nor forwarding. */
+  /** Pipelines depend on routes and endpoints, but not on placement or forwarding. */
   @ArchTest
   static final ArchRule PIPELINES_USE_ROUTES_AND_ENDPOINTS_ONLY =
       noClasses()
@@ -127,7 +127,7 @@
               "org.vaneworks.coordination.relay..",
               "org.vaneworks.coordination.shared..");
 
-  /** Records of requests know no peers; peers carry them. */
+  /** The once package does not depend on peers; peer messages depend on it. */
   @ArchTest
   static final ArchRule ONCE_DOES_NOT_USE_MEMBERSHIP =
       noClasses()
@@ -137,9 +137,9 @@
           .dependOnClassesThat()
           .resideInAPackage("org.vaneworks.coordination.membership..");
 
-  /** The forwarding node and the product's own daemon share only what both are built on. */
+  /** The forwarding node and {@code vaneworksd} share only the packages that both are built on. */
   @ArchTest
-  static final ArchRule FORWARDING_DOES_NOT_USE_THE_OTHER_DAEMON =
+  static final ArchRule FORWARDING_DOES_NOT_USE_VANEWORKSD_PACKAGES =
       noClasses()
           .that()
           .resideInAnyPackage(
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/OnceSchedulesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/OnceSchedulesTest.java
@@ -6,7 +6,7 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.lifecycle.AfterContainer;
 
-/** Runs random schedules of requests that may run once. */
+/** Property test with random schedules of requests that run at most once. */
 final class OnceSchedulesTest {
   private static final Schedules SCHEDULES = new Schedules("once");
 
@@ -15,7 +15,7 @@
       seed = Schedules.SEED,
       shrinking = ShrinkingMode.OFF,
       afterFailure = AfterFailureMode.PREVIOUS_SEED)
-  void nothingRunsTwiceUnderAnySchedule(@ForAll long seed) {
+  void noRequestRunsTwice(@ForAll long seed) {
     SCHEDULES.run(seed, OnceSchedule::run);
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/ProcessScenariosTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/ProcessScenariosTest.java
@@ -8,7 +8,7 @@
 import org.junit.platform.suite.api.SelectClasspathResource;
 import org.junit.platform.suite.api.Suite;
 
-/** Runs the scenarios of separate processes. */
+/** Runs the Cucumber scenarios that start separate processes. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectClasspathResource("features/processes")
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/ResourceJsonTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/ResourceJsonTest.java
@@ -12,7 +12,7 @@
 import org.vaneworks.state.Template;
 import org.vaneworks.state.Workspace;
 
-/** Checks the operators' documents. */
+/** Tests reading, writing and validating templates and workspaces. */
 final class ResourceJsonTest {
   private static final String TEMPLATE =
       "{kind: template, name: t, model: {name: m, layers: 4}, limits: {maxTokens: '${length}'},"
@@ -29,7 +29,7 @@
         ImmutableList.of((Workspace) read(workspace)));
   }
 
-  private static void rejects(Runnable reading, String... parts) {
+  private static void assertRejected(Runnable reading, String... parts) {
     IllegalArgumentException problem = assertThrows(IllegalArgumentException.class, reading::run);
     for (String part : parts) {
       assertTrue(problem.getMessage().contains(part), problem.getMessage());
@@ -37,21 +37,21 @@
   }
 
   @Test
-  void whatIsWrittenReadsBackEqual() {
+  void writtenTemplateReadsBackEqual() {
     Record template = read(TEMPLATE);
     assertEquals(template, ResourceJson.read(ResourceJson.write(template)));
   }
 
   @Test
-  void parametersAreFilledIn() {
+  void parametersAreSubstituted() {
     ConfigurationSnapshot snapshot =
         configuration("{kind: workspace, name: w, template: t, parameters: {length: 5}}");
     assertEquals(5, snapshot.plan("w").orElseThrow().maxTokens());
   }
 
   @Test
-  void parameterOutOfBounds() {
-    rejects(
+  void parameterOutOfBoundsIsRejected() {
+    assertRejected(
         () -> configuration("{kind: workspace, name: w, template: t, parameters: {length: 10}}"),
         "workspace/w",
         "parameters.length",
@@ -59,16 +59,16 @@
   }
 
   @Test
-  void parameterMissing() {
-    rejects(
+  void missingParameterIsRejected() {
+    assertRejected(
         () -> configuration("{kind: workspace, name: w, template: t}"),
         "parameters.length",
         "must be given");
   }
 
   @Test
-  void parameterUnknown() {
-    rejects(
+  void unknownParameterIsRejected() {
+    assertRejected(
         () ->
             configuration("{kind: workspace, name: w, template: t, parameters: {length: 1, x: 2}}"),
         "parameters.x",
@@ -76,24 +76,25 @@
   }
 
   @Test
-  void templateUnknown() {
-    rejects(
+  void unknownTemplateIsRejected() {
+    assertRejected(
         () -> configuration("{kind: workspace, name: w, template: other}"), "none is named other");
   }
 
   @Test
-  void nameNotAllowed() {
-    rejects(
+  void invalidNameIsRejected() {
+    assertRejected(
         () -> read("{kind: workspace, name: W, template: t}"), "name is W", "lower case letters");
   }
 
   @Test
-  void unknownKind() {
-    rejects(() -> read("{kind: thing, name: x}"), "kind", "template, workspace");
+  void unknownKindIsRejected() {
+    assertRejected(() -> read("{kind: thing, name: x}"), "kind", "template, workspace");
   }
 
   @Test
-  void misspelledField() {
-    rejects(() -> read("{kind: template, name: t, model: {name: m, layer: 4}}"), "model.layer");
+  void unknownFieldIsRejected() {
+    assertRejected(
+        () -> read("{kind: template, name: t, model: {name: m, layer: 4}}"), "model.layer");
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/ScenariosTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/ScenariosTest.java
@@ -8,7 +8,7 @@
 import org.junit.platform.suite.api.SelectClasspathResource;
 import org.junit.platform.suite.api.Suite;
 
-/** Runs the scenarios of one process under a paused clock. */
+/** Runs the Cucumber scenarios that use one process and a paused clock. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectClasspathResource("features/decisions")
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/Schedules.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/Schedules.java
@@ -8,16 +8,16 @@
 import java.util.function.LongFunction;
 
 /**
- * Runs random schedules and adds up what they came to.
+ * Runs random schedules, fails on the first problem and sums up the counts of all schedules.
  *
- * <p>{@code -Dvaneworks.schedules=N} runs more of them; a failing seed is printed and replays with
- * the schedule's {@code run}.
+ * <p>{@code -Dvaneworks.schedules=N} runs about N schedules instead of the default. The failure
+ * message contains the seed, with which the schedule's {@code run} reproduces the failure.
  */
 public final class Schedules {
-  /** How many seeds a property is tried with. */
+  /** Number of seeds that jqwik generates for a property. */
   public static final int TRIES = 200;
 
-  /** The seed that the properties' seeds come from. */
+  /** The jqwik seed from which the seeds of the schedules are generated. */
   public static final String SEED = "20261202";
 
   private static final int SCHEDULES = Integer.getInteger("vaneworks.schedules", TRIES);
@@ -30,10 +30,12 @@
     this.name = name;
   }
 
-  /** What one schedule came to: what is wrong, and counts to add up. */
+  /** The result of one schedule: the problems found, and named counts to sum up. */
   public record Result(ImmutableList<String> problems, Map<String, Integer> counts) {}
 
-  /** Runs the share of the schedules that falls to one try. */
+  /**
+   * Runs one schedule, or several with consecutive seeds if more than the default are requested.
+   */
   public void run(long seed, LongFunction<Result> schedule) {
     for (int i = 0; i < Math.max(1, SCHEDULES / TRIES); i++) {
       long each = seed + i;
@@ -44,7 +46,7 @@
     }
   }
 
-  /** Prints the sums. */
+  /** Prints the number of schedules and the sums of their counts. */
   public void report() {
     System.out.println(name + " schedules: " + count + " " + totals);
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/StreamSchedule.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/StreamSchedule.java
@@ -15,24 +15,25 @@
 import org.vaneworks.testlib.RecordedAnswer;
 
 /**
- * One random schedule of requests and faults, all from one seed.
+ * A random schedule, generated from a seed, of completions and engine faults.
  *
- * <p>One full set of layers is never hurt, so no repeatable request may fail.
+ * <p>The engines {@code safe1} and {@code safe2} hold all layers and have no faults, so no
+ * repeatable request may fail.
  */
 final class StreamSchedule {
   private static final int LAYERS = 12;
-  private static final int[] CUTS = {0, 3, 5, 6, 8, 12};
+  private static final int[] LAYER_BOUNDARIES = {0, 3, 5, 6, 8, 12};
   private static final int MAX_TOKENS = 40;
-  private static final int SPAN_MILLIS = 2000;
-  private static final Duration PATIENCE = Duration.ofMinutes(3);
-  private static final Duration AFTERWARDS = Duration.ofSeconds(15);
+  private static final int SCHEDULE_MILLIS = 2000;
+  private static final Duration TIMEOUT = Duration.ofMinutes(3);
+  private static final Duration SETTLE_TIME = Duration.ofSeconds(15);
 
-  private record Asked(RecordedAnswer answer, int tokens, boolean repeatable) {}
+  private record SentRequest(RecordedAnswer answer, int tokens, boolean repeatable) {}
 
   private final Random random;
   private final InMemoryFleet fleet;
-  private final List<String> victims = new ArrayList<>();
-  private final List<Asked> asked = new ArrayList<>();
+  private final List<String> faultyBoxes = new ArrayList<>();
+  private final List<SentRequest> sentRequests = new ArrayList<>();
   private int faults;
 
   private StreamSchedule(long seed) {
@@ -45,30 +46,31 @@
   }
 
   private Schedules.Result run() {
-    build();
+    startFleet();
     planRequests();
     planFaults();
-    fleet.clock().advance(Duration.ofMillis(SPAN_MILLIS));
-    boolean ended = fleet.clock().advanceUntil(this::allEnded, PATIENCE);
-    fleet.clock().advance(AFTERWARDS);
+    fleet.clock().advance(Duration.ofMillis(SCHEDULE_MILLIS));
+    boolean ended = fleet.clock().advanceUntil(this::allEnded, TIMEOUT);
+    fleet.clock().advance(SETTLE_TIME);
     List<String> problems = new ArrayList<>();
     if (!ended) {
       problems.add("some requests never ended");
     }
-    judge(problems);
+    checkResults(problems);
     return new Schedules.Result(
-        ImmutableList.copyOf(problems), Map.of("requests", asked.size(), "faults", faults));
+        ImmutableList.copyOf(problems), Map.of("requests", sentRequests.size(), "faults", faults));
   }
 
-  private void build() {
+  private void startFleet() {
     fleet.addEngine("safe1", 0, 5, 1 + random.nextInt(8));
     fleet.addEngine("safe2", 5, LAYERS, 1 + random.nextInt(8));
     int others = 3 + random.nextInt(5);
     for (int i = 0; i < others; i++) {
-      int from = random.nextInt(CUTS.length - 1);
-      int to = from + 1 + random.nextInt(CUTS.length - from - 1);
-      fleet.addEngine("victim" + i, CUTS[from], CUTS[to], 1 + random.nextInt(8));
-      victims.add("victim" + i);
+      int from = random.nextInt(LAYER_BOUNDARIES.length - 1);
+      int to = from + 1 + random.nextInt(LAYER_BOUNDARIES.length - from - 1);
+      fleet.addEngine(
+          "victim" + i, LAYER_BOUNDARIES[from], LAYER_BOUNDARIES[to], 1 + random.nextInt(8));
+      faultyBoxes.add("victim" + i);
     }
     fleet.addNode("n1");
     fleet.addNode("n2");
@@ -82,7 +84,10 @@
       int tokens = 1 + random.nextInt(MAX_TOKENS);
       boolean repeatable = random.nextInt(10) < 7;
       String prompt = "p" + i + "x".repeat(random.nextInt(600));
-      later(() -> asked.add(new Asked(ask(node, prompt, tokens, repeatable), tokens, repeatable)));
+      scheduleRandomly(
+          () ->
+              sentRequests.add(
+                  new SentRequest(ask(node, prompt, tokens, repeatable), tokens, repeatable)));
     }
   }
 
@@ -100,12 +105,12 @@
   private void planFaults() {
     faults = random.nextInt(10);
     for (int i = 0; i < faults; i++) {
-      String box = victims.get(random.nextInt(victims.size()));
+      String box = faultyBoxes.get(random.nextInt(faultyBoxes.size()));
       HostPort address = fleet.addressOf(box);
       int kind = random.nextInt(7);
       int count = 1 + random.nextInt(6);
       Duration pause = Duration.ofMillis(50 + random.nextInt(8000));
-      later(
+      scheduleRandomly(
           () -> {
             switch (kind) {
               case 0 -> fleet.endpoints().kill(address);
@@ -125,20 +130,20 @@
     fleet.clock().schedule(() -> fleet.endpoints().thaw(address), pause);
   }
 
-  private void later(Runnable task) {
-    fleet.clock().schedule(task, Duration.ofMillis(random.nextInt(SPAN_MILLIS)));
+  private void scheduleRandomly(Runnable task) {
+    fleet.clock().schedule(task, Duration.ofMillis(random.nextInt(SCHEDULE_MILLIS)));
   }
 
   private boolean allEnded() {
-    return asked.stream().allMatch(each -> each.answer().isEnded());
+    return sentRequests.stream().allMatch(sent -> sent.answer().isEnded());
   }
 
-  private void judge(List<String> problems) {
+  private void checkResults(List<String> problems) {
     Judge judge = fleet.judge();
-    for (Asked each : asked) {
-      problems.addAll(judge.problemsOf(each.answer(), each.tokens(), each.repeatable()));
-      if (each.repeatable() && !each.answer().isWhole()) {
-        problems.add("repeatable, but failed: " + each.answer().refusal());
+    for (SentRequest sent : sentRequests) {
+      problems.addAll(judge.problemsOf(sent.answer(), sent.tokens(), sent.repeatable()));
+      if (sent.repeatable() && !sent.answer().isWhole()) {
+        problems.add("repeatable, but failed: " + sent.answer().refusal());
       }
     }
     for (EngineCore engine : fleet.endpoints().engines()) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/StreamSchedulesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/StreamSchedulesTest.java
@@ -6,7 +6,7 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.lifecycle.AfterContainer;
 
-/** Runs random schedules of requests and faults. */
+/** Property test with random schedules of completions and engine faults. */
 final class StreamSchedulesTest {
   private static final Schedules SCHEDULES = new Schedules("stream");
 
@@ -15,7 +15,7 @@
       seed = Schedules.SEED,
       shrinking = ShrinkingMode.OFF,
       afterFailure = AfterFailureMode.PREVIOUS_SEED)
-  void promisesHoldUnderAnySchedule(@ForAll long seed) {
+  void completionGuaranteesHold(@ForAll long seed) {
     SCHEDULES.run(seed, StreamSchedule::run);
   }
 
