--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EndpointListWatch.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EndpointListWatch.java
@@ -11,7 +11,7 @@
 import org.vaneworks.coordination.fleet.FleetEndpoint;
 import org.vaneworks.coordination.shared.PrefixFollower;
 import org.vaneworks.coordination.shared.StoreChanges;
-import org.vaneworks.coordination.shared.StoreSilence;
+import org.vaneworks.coordination.shared.StoreOutage;
 import org.vaneworks.coordination.shared.StoredItem;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.telemetry.Event;
@@ -64,8 +64,8 @@
   }
 
   @Override
-  public void silent(StoreSilence silence) {
-    fleet.noteStoreSilent(silence.lastCallBegunAt(), silence.lastPosition());
+  public void unavailable(StoreOutage silence) {
+    fleet.noteStoreSilent(silence.lastCallStartedAt(), silence.lastPosition());
   }
 
   @Override
--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
@@ -30,7 +30,7 @@
 import org.vaneworks.coordination.shared.PrefixFollower;
 import org.vaneworks.coordination.shared.PrefixRouter;
 import org.vaneworks.coordination.shared.SharedStore;
-import org.vaneworks.coordination.shared.SuspensionWatch;
+import org.vaneworks.coordination.shared.SuspensionDetector;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.entry.EntryConfiguration;
 import org.vaneworks.state.entry.EntryLimits;
@@ -101,7 +101,8 @@
     adapters.engines().onStatement(fleet.statements()::answeredCall);
     peerVersions = new PeerVersions(io);
     SharedStore store = MeasuredStore.of(io, adapters.store(), counters);
-    SuspensionWatch suspensions = SuspensionWatch.create(io, System::currentTimeMillis, counters);
+    SuspensionDetector suspensions =
+        SuspensionDetector.create(io, System::currentTimeMillis, counters);
     lease =
         NodeLease.create(
             io,
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryPeers.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryPeers.java
@@ -58,7 +58,7 @@
   public PeerLink linkFrom(HostPort from) {
     return (to, request, limit) -> {
       PeerException late = PeerException.unanswered(to + " did not reply in " + limit);
-      return Async.within(executor, limit, send(from, to, request), late);
+      return Async.withTimeout(executor, limit, send(from, to, request), late);
     };
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestSchedulesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestSchedulesTest.java
@@ -77,7 +77,7 @@
 
     private void forget() {
       switch (random.nextInt(12)) {
-        case 0, 1 -> fleet.store.takeCopy();
+        case 0, 1 -> fleet.store.takeBackup();
         case 2 -> fleet.storeComesBack();
         default -> {}
       }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestTest.java
@@ -174,10 +174,10 @@
 
   @Test
   void whatIsHeldBackOutlivesAStoreThatComesBackFromACopyWithoutIt() {
-    fleet.store.takeCopy();
+    fleet.store.takeBackup();
     askAgainAndAgain(10, 500);
     long before = fleet.crashingArrivalsFrom(0);
-    fleet.store.comeBackFromCopy();
+    fleet.store.restoreBackup();
     askAgainAndAgain(20, 500);
     assertEquals(before, fleet.crashingArrivalsFrom(0));
     for (int node = 0; node < NODES; node++) {
@@ -190,10 +190,10 @@
 
   @Test
   void endsThatWereToldBeforeAStoreForgotThemStillCount() {
-    fleet.store.takeCopy();
+    fleet.store.takeBackup();
     fleet.ask(0, SharedEngines.CRASHING);
     fleet.advance(3000);
-    fleet.store.comeBackFromCopy();
+    fleet.store.restoreBackup();
     fleet.advance(3000);
     for (int node = 1; node < NODES; node++) {
       fleet.restartNode(node);
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/ListedFleet.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/ListedFleet.java
@@ -13,8 +13,8 @@
 import org.vaneworks.state.HostPort;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
-import org.vaneworks.tests.shared.BoxTime;
-import org.vaneworks.tests.shared.StoreInMemory;
+import org.vaneworks.tests.shared.BoxClock;
+import org.vaneworks.tests.shared.InMemorySharedStore;
 import org.vaneworks.tests.shared.StoreLink;
 
 /** One node's table of endpoints, kept by its follower of the store, under a paused clock. */
@@ -23,7 +23,7 @@
   private static final String SERVICE = "records";
 
   final PausedExecutor clock = PausedExecutor.create();
-  final StoreInMemory store = new StoreInMemory(clock);
+  final InMemorySharedStore store = new InMemorySharedStore(clock);
   final StoreLink link = new StoreLink(clock, store);
   private final Counters counters = Counters.in(new SimpleMeterRegistry());
   private final Fleet fleet = Fleet.create(clock, counters, EntryNode.RELIST_GRACE);
@@ -40,7 +40,7 @@
             () -> Duration.ofMillis(1250),
             () -> Duration.ofMillis(500),
             new EndpointListWatch(PREFIX, ListedFleet::endpoint, fleet, counters),
-            new BoxTime(clock).watch());
+            new BoxClock(clock).suspensionDetector());
   }
 
   private static FleetEndpoint endpoint(StoredItem item) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/ReturningStoreCourse.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/ReturningStoreCourse.java
@@ -29,8 +29,8 @@
 import org.vaneworks.state.entry.EntryLimits;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
-import org.vaneworks.tests.shared.BoxTime;
-import org.vaneworks.tests.shared.StoreInMemory;
+import org.vaneworks.tests.shared.BoxClock;
+import org.vaneworks.tests.shared.InMemorySharedStore;
 import org.vaneworks.tests.shared.StoreLink;
 
 /**
@@ -58,7 +58,7 @@
   private static final int CALM_MILLIS = 20_000;
 
   private final PausedExecutor clock = PausedExecutor.create();
-  private final StoreInMemory store = new StoreInMemory(clock);
+  private final InMemorySharedStore store = new InMemorySharedStore(clock);
   private final Random random;
   private Optional<Random> lateness = Optional.empty();
   private final List<Node> nodes = new ArrayList<>();
@@ -91,7 +91,7 @@
   private final class Node {
     private final int place;
     private final StoreLink link = new StoreLink(clock, store);
-    private final BoxTime time = new BoxTime(clock);
+    private final BoxClock time = new BoxClock(clock);
     private final Fleet fleet;
     private final ConfigurationWatch configuration;
     private final NodeLease lease;
@@ -112,7 +112,7 @@
               clock,
               chance,
               link,
-              time.watch(),
+              time.suspensionDetector(),
               OWN,
               "box" + place,
               "dc1",
@@ -136,7 +136,7 @@
                           ENTRIES, ReturningStoreCourse::endpoint, fleet, counters),
                       OWN,
                       lease)),
-              time.watch());
+              time.suspensionDetector());
       follower.start();
       lease.start();
     }
@@ -233,7 +233,7 @@
     }
     store.down = false;
     nodes.forEach(node -> node.link.cut(false));
-    nodes.forEach(node -> node.link.late(0));
+    nodes.forEach(node -> node.link.delayAnswers(0));
     advance(CALM_MILLIS);
     judgeCalm();
     return ImmutableList.copyOf(problems);
@@ -250,8 +250,8 @@
   private void makeLate(Random chance) {
     Node node = nodes.get(chance.nextInt(nodes.size()));
     switch (chance.nextInt(8)) {
-      case 0, 1 -> node.link.late(chance.nextInt(LONGEST_ANSWER_MILLIS));
-      case 2 -> node.link.late(0);
+      case 0, 1 -> node.link.delayAnswers(chance.nextInt(LONGEST_ANSWER_MILLIS));
+      case 2 -> node.link.delayAnswers(0);
       default -> {}
     }
   }
@@ -272,9 +272,9 @@
         node.end(random.nextBoolean());
         nodes.set(place, new Node(place));
       }
-      case 10, 11 -> store.takeCopy();
+      case 10, 11 -> store.takeBackup();
       case 12, 13 -> comeBack();
-      case 14 -> store.copiesHaveNoHistory = random.nextBoolean();
+      case 14 -> store.backupsHaveNoHistory = random.nextBoolean();
       default -> {}
     }
   }
@@ -299,7 +299,7 @@
     store.down = random.nextBoolean();
     advance(1 + random.nextInt(LONGEST_STEP_MILLIS));
     store.down = false;
-    store.comeBackFromCopy();
+    store.restoreBackup();
     // Leases that it gives out take numbers that were given out before.
     CompletableFuture<Long> unused = store.openLease(Duration.ofSeconds(1 + random.nextInt(20)));
     clock.schedule(
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
@@ -73,8 +73,8 @@
 import org.vaneworks.tests.forwarding.Got;
 import org.vaneworks.tests.forwarding.Head;
 import org.vaneworks.tests.placement.Models;
-import org.vaneworks.tests.shared.BoxTime;
-import org.vaneworks.tests.shared.StoreInMemory;
+import org.vaneworks.tests.shared.BoxClock;
+import org.vaneworks.tests.shared.InMemorySharedStore;
 import org.vaneworks.tests.shared.StoreLink;
 
 /**
@@ -114,7 +114,7 @@
   private static final long FOR_GOOD = Long.MAX_VALUE;
 
   final PausedExecutor clock = PausedExecutor.create();
-  final StoreInMemory store = new StoreInMemory(clock);
+  final InMemorySharedStore store = new InMemorySharedStore(clock);
   private final Map<HostPort, Engine> engines = new LinkedHashMap<>();
   private final List<Node> nodes = new ArrayList<>();
 
@@ -601,7 +601,7 @@
     private final Fleet fleet;
     private EntryConfiguration known = configuration;
     private final StoreLink link = new StoreLink(clock, store);
-    private final BoxTime time = new BoxTime(clock);
+    private final BoxClock time = new BoxClock(clock);
     private final Forwarder forwarder;
     private final LoadExchange exchange;
     private final int place;
@@ -643,7 +643,7 @@
                       new EndpointListWatch(ENTRIES, SharedEngines.this::listed, fleet, counters),
                       QUARANTINE,
                       quarantine)),
-              time.watch());
+              time.suspensionDetector());
       forwarder =
           Forwarder.create(
               clock,
@@ -1017,7 +1017,7 @@
 
   /** The store is as it was when it was copied; engines list themselves again a moment later. */
   void storeComesBack() {
-    store.comeBackFromCopy();
+    store.restoreBackup();
     later(RELISTED_AFTER_MILLIS, this::listEngines);
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreReturnCostTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreReturnCostTest.java
@@ -16,8 +16,8 @@
 import org.vaneworks.state.HostPort;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
-import org.vaneworks.tests.shared.BoxTime;
-import org.vaneworks.tests.shared.StoreInMemory;
+import org.vaneworks.tests.shared.BoxClock;
+import org.vaneworks.tests.shared.InMemorySharedStore;
 import org.vaneworks.tests.shared.StoreLink;
 
 /** Checks how often nodes call a store that has just come back from an older copy. */
@@ -27,18 +27,18 @@
   private static final int COUNTED_MILLIS = 2000;
 
   private final PausedExecutor clock = PausedExecutor.create();
-  private final StoreInMemory store = new StoreInMemory(clock);
+  private final InMemorySharedStore store = new InMemorySharedStore(clock);
   private final List<NodeLease> nodes = new ArrayList<>();
 
   private void startNode(int place) {
     StoreLink link = new StoreLink(clock, store);
-    BoxTime time = new BoxTime(clock);
+    BoxClock time = new BoxClock(clock);
     NodeLease lease =
         NodeLease.create(
             clock,
             new Random(place),
             link,
-            time.watch(),
+            time.suspensionDetector(),
             PREFIX,
             "box" + place,
             "dc1",
@@ -53,7 +53,7 @@
             () -> FollowTimes.within(KEY_REVOCATION, lease.sharingNodes()).watchWait(),
             () -> FollowTimes.within(KEY_REVOCATION, lease.sharingNodes()).pause(),
             lease,
-            time.watch())
+            time.suspensionDetector())
         .start();
     lease.start();
     nodes.add(lease);
@@ -72,7 +72,7 @@
   @ParameterizedTest
   @ValueSource(ints = {8, 95, 350})
   void callsAreAtMostTwiceThoseOfAColdStart(int count) {
-    store.takeCopy();
+    store.takeBackup();
     int before = store.calls();
     for (int place = 0; place < count; place++) {
       startNode(place);
@@ -80,7 +80,7 @@
     advance(COUNTED_MILLIS);
     int coldStart = store.calls() - before;
     advance(10_000);
-    store.comeBackFromCopy();
+    store.restoreBackup();
     int afterReturn = callsWithin(COUNTED_MILLIS);
     assertTrue(afterReturn <= 2 * coldStart, afterReturn + " calls, cold start " + coldStart);
     advance(10_000);
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreReturnTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreReturnTest.java
@@ -29,7 +29,7 @@
     SharedEngines fleet = new SharedEngines(NODES, ENGINES, awayMillis);
     ask(fleet, 1000);
     for (int time = 0; time < 4; time++) {
-      fleet.store.takeCopy();
+      fleet.store.takeBackup();
       ask(fleet, 3000);
       fleet.store.down = awayMillis > 0;
       ask(fleet, awayMillis);
@@ -45,7 +45,7 @@
   @ValueSource(ints = {0, 500})
   void requestsAreServedWhereTheCopyNamesNoEngineYet(int awayMillis) {
     SharedEngines fleet = new SharedEngines(NODES, ENGINES, awayMillis);
-    fleet.store.copyNothing();
+    fleet.store.takeEmptyBackup();
     ask(fleet, 3000);
     fleet.store.down = awayMillis > 0;
     ask(fleet, awayMillis);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
@@ -44,7 +44,7 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
 import org.vaneworks.tests.placement.Models;
-import org.vaneworks.tests.shared.StoreInMemory;
+import org.vaneworks.tests.shared.InMemorySharedStore;
 
 /** A forwarder under a paused clock; endpoints and callers are played by the test. */
 final class ForwardingFixture {
@@ -196,7 +196,7 @@
             SharedQuarantine.create(
                 clock,
                 new Random(8),
-                new StoreInMemory(clock),
+                new InMemorySharedStore(clock),
                 "quarantine/",
                 "n1",
                 fleet,
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/StoreInMemory.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/InMemorySharedStore.java
@@ -18,19 +18,22 @@
 import org.vaneworks.coordination.shared.SharedStoreException;
 import org.vaneworks.coordination.shared.SharedStoreException.Kind;
 import org.vaneworks.coordination.shared.StoreChanges;
-import org.vaneworks.coordination.shared.StoreEras;
-import org.vaneworks.coordination.shared.StoreView;
+import org.vaneworks.coordination.shared.StoreEraTracker;
+import org.vaneworks.coordination.shared.StoreSnapshot;
 import org.vaneworks.coordination.shared.StoredItem;
 import org.vaneworks.state.StorePosition;
 
-/** The shared store under a paused clock, with outages, lost answers and forgotten history. */
-public final class StoreInMemory implements SharedStore {
+/**
+ * An in-memory shared store on a simulated clock, which can be made unavailable, lose responses,
+ * lose its history, and be restored from a backup.
+ */
+public final class InMemorySharedStore implements SharedStore {
   private record Lease(Duration lifetime, long renewedAt) {}
 
   private record Stored(StoredItem item, long lease) {}
 
-  /** All that the store keeps. */
-  private record Copy(
+  /** The whole state of the store. */
+  private record Backup(
       Map<String, Stored> items,
       List<StoreChanges.Change> history,
       Map<Long, Lease> leases,
@@ -46,17 +49,17 @@
   private long nextLease = 1;
   public boolean down;
   public boolean losesAnswers;
-  private boolean forgot;
+  private boolean historyLost;
   private long era = 1;
   private long historyFrom;
 
-  /** Whether the history before the newest return is gone too, as told to watches. */
-  public boolean copiesHaveNoHistory;
+  /** Whether the history before the latest restore is lost, so that watches from there fail. */
+  public boolean backupsHaveNoHistory;
 
-  private final StoreEras eras = StoreEras.create();
-  private Copy copy;
+  private final StoreEraTracker eras = StoreEraTracker.create();
+  private Backup backup;
 
-  public StoreInMemory(Executor clock) {
+  public InMemorySharedStore(Executor clock) {
     this.clock = clock;
   }
 
@@ -65,23 +68,23 @@
   }
 
   public void forgetHistory() {
-    forgot = true;
+    historyLost = true;
   }
 
   public boolean has(String key) {
-    lapse();
+    expireLeases();
     return items.containsKey(key);
   }
 
-  /** Returns what a key holds. */
+  /** Returns the value of a key; empty if it is absent. */
   public Optional<String> valueOf(String key) {
-    lapse();
+    expireLeases();
     return Optional.ofNullable(items.get(key)).map(stored -> stored.item().value());
   }
 
   /** Returns all keys. */
   public ImmutableList<String> keys() {
-    lapse();
+    expireLeases();
     return ImmutableList.copyOf(items.keySet());
   }
 
@@ -107,21 +110,21 @@
     keys.forEach(this::remove);
   }
 
-  /** Returns how many calls came. */
+  /** Returns the number of calls received. */
   public int calls() {
     return calls.size();
   }
 
-  /** Returns how many calls asked for a change. */
+  /** Returns the number of calls that write. */
   public long writes() {
     return calls.stream().filter(call -> !call.equals("list") && !call.equals("watch")).count();
   }
 
-  /** Keeps all that is there now for {@link #comeBackFromCopy}. */
-  public void takeCopy() {
-    lapse();
-    copy =
-        new Copy(
+  /** Saves the current state for {@link #restoreBackup}. */
+  public void takeBackup() {
+    expireLeases();
+    backup =
+        new Backup(
             new TreeMap<>(items),
             new ArrayList<>(history),
             new TreeMap<>(leases),
@@ -129,62 +132,63 @@
             nextLease);
   }
 
-  /** Keeps an empty store for {@link #comeBackFromCopy}. */
-  public void copyNothing() {
-    copy = new Copy(new TreeMap<>(), new ArrayList<>(), new TreeMap<>(), 0, 1);
+  /** Saves an empty state for {@link #restoreBackup}. */
+  public void takeEmptyBackup() {
+    backup = new Backup(new TreeMap<>(), new ArrayList<>(), new TreeMap<>(), 0, 1);
   }
 
   /**
-   * Goes back to the copy: what was written since is gone, and its numbers are given out again.
-   * Leases of the copy are renewed by that, as their time counts anew.
+   * Restores the backup: later writes are lost, and their revisions and lease ids are used again.
+   * Leases in the backup start with their full lifetime.
    */
-  public void comeBackFromCopy() {
-    if (copy == null) {
+  public void restoreBackup() {
+    if (backup == null) {
       return;
     }
     long now = clock.currentTime(TimeUnit.NANOSECONDS);
     items.clear();
-    items.putAll(copy.items());
+    items.putAll(backup.items());
     history.clear();
-    if (!copiesHaveNoHistory) {
-      history.addAll(copy.history());
+    if (!backupsHaveNoHistory) {
+      history.addAll(backup.history());
     }
     leases.clear();
-    copy.leases().forEach((id, lease) -> leases.put(id, new Lease(lease.lifetime(), now)));
-    revision = copy.revision();
-    nextLease = copy.nextLease();
-    historyFrom = copiesHaveNoHistory ? revision : 0;
+    backup.leases().forEach((id, lease) -> leases.put(id, new Lease(lease.lifetime(), now)));
+    revision = backup.revision();
+    nextLease = backup.nextLease();
+    historyFrom = backupsHaveNoHistory ? revision : 0;
     era++;
   }
 
-  /** Returns how often it came back from a copy, and one. */
+  /** Returns the current era: one more than the number of restores. */
   public long era() {
     return era;
   }
 
-  /** The store itself numbers without an era; whoever reads adds that of the answer. */
+  /** Stored positions have era 0; responses carry the current era. */
   private StorePosition position() {
     return new StorePosition(0, revision);
   }
 
-  private StorePosition told(StorePosition position) {
+  private StorePosition withEra(StorePosition position) {
     return new StorePosition(era, position.revision());
   }
 
-  private StoredItem told(StoredItem item) {
-    return new StoredItem(item.key(), item.value(), told(item.changedAt()), told(item.createdAt()));
+  private StoredItem withEra(StoredItem item) {
+    return new StoredItem(
+        item.key(), item.value(), withEra(item.changedAt()), withEra(item.createdAt()));
   }
 
-  private void lapse() {
+  private void expireLeases() {
     long now = clock.currentTime(TimeUnit.NANOSECONDS);
-    Set<Long> over = new HashSet<>();
+    Set<Long> expired = new HashSet<>();
     leases.forEach(
         (id, lease) -> {
           if (now - lease.renewedAt() > lease.lifetime().toNanos()) {
-            over.add(id);
+            expired.add(id);
           }
         });
-    over.forEach(this::end);
+    expired.forEach(this::end);
   }
 
   private void end(long lease) {
@@ -199,7 +203,7 @@
 
   private <T> CompletableFuture<T> answer(String call, java.util.function.Supplier<T> work) {
     calls.add(call);
-    lapse();
+    expireLeases();
     if (down) {
       return failed(Kind.WITHOUT_EFFECT);
     }
@@ -218,17 +222,17 @@
   }
 
   @Override
-  public CompletableFuture<StoreView> list(String prefix) {
+  public CompletableFuture<StoreSnapshot> list(String prefix) {
     return answer(
         "list",
         () -> {
-          forgot = false;
-          return new StoreView(
+          historyLost = false;
+          return new StoreSnapshot(
               items.values().stream()
-                  .map(stored -> told(stored.item()))
+                  .map(stored -> withEra(stored.item()))
                   .filter(item -> item.key().startsWith(prefix))
                   .collect(ImmutableList.toImmutableList()),
-              told(position()));
+              withEra(position()));
         });
   }
 
@@ -237,18 +241,18 @@
     calls.add("watch");
     CompletableFuture<StoreChanges> answer = new CompletableFuture<>();
     long until = clock.currentTime(TimeUnit.NANOSECONDS) + wait.toNanos();
-    look(prefix, after, until, answer);
+    completeWatch(prefix, after, until, answer);
     return answer;
   }
 
-  private void look(
+  private void completeWatch(
       String prefix, StorePosition after, long until, CompletableFuture<StoreChanges> answer) {
-    lapse();
+    expireLeases();
     boolean unknown = after.revision() > revision || after.revision() < historyFrom;
     if (!down) {
       eras.accepts(OptionalLong.of(era));
     }
-    if (down || forgot || unknown) {
+    if (down || historyLost || unknown) {
       Kind kind = down ? Kind.WITHOUT_EFFECT : Kind.HISTORY_LOST;
       answer.completeExceptionally(SharedStoreException.of(kind, kind.name()));
       return;
@@ -257,13 +261,13 @@
         history.stream()
             .filter(change -> change.item().changedAt().revision() > after.revision())
             .filter(change -> change.item().key().startsWith(prefix))
-            .map(change -> new StoreChanges.Change(told(change.item()), change.removed()))
+            .map(change -> new StoreChanges.Change(withEra(change.item()), change.removed()))
             .collect(ImmutableList.toImmutableList());
     if (!changes.isEmpty() || clock.currentTime(TimeUnit.NANOSECONDS) >= until) {
-      answer.complete(new StoreChanges(changes, told(position())));
+      answer.complete(new StoreChanges(changes, withEra(position())));
       return;
     }
-    clock.schedule(() -> look(prefix, after, until, answer), 5, TimeUnit.MILLISECONDS);
+    clock.schedule(() -> completeWatch(prefix, after, until, answer), 5, TimeUnit.MILLISECONDS);
   }
 
   @Override
@@ -275,7 +279,7 @@
             return Optional.empty();
           }
           store(key, value, lease);
-          return Optional.of(told(position()));
+          return Optional.of(withEra(position()));
         });
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/NodeLeaseTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/NodeLeaseTest.java
@@ -24,25 +24,28 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Checks who the controller is when nodes come, go and are cut off. */
+/**
+ * Tests which node is the controller, and how many nodes are counted, while nodes start, stop, lose
+ * their connection to the store or are suspended, and while the store fails or is restored.
+ */
 final class NodeLeaseTest {
   private static final String PREFIX = "vaneworks/";
 
   private final PausedExecutor clock = PausedExecutor.create();
-  private final StoreInMemory store = new StoreInMemory(clock);
+  private final InMemorySharedStore store = new InMemorySharedStore(clock);
   private final List<NodeLease> nodes = new ArrayList<>();
 
   private NodeLease node(SharedStore reached, String box, String run) {
-    return node(reached, box, run, new BoxTime(clock));
+    return node(reached, box, run, new BoxClock(clock));
   }
 
-  private NodeLease node(SharedStore reached, String box, String run, BoxTime time) {
+  private NodeLease node(SharedStore reached, String box, String run, BoxClock boxClock) {
     NodeLease lease =
         NodeLease.create(
             clock,
             new Random(nodes.size()),
             reached,
-            time.watch(),
+            boxClock.suspensionDetector(),
             PREFIX,
             box,
             "dc1",
@@ -57,14 +60,14 @@
             () -> Duration.ofMillis(1500),
             () -> Duration.ofMillis(100),
             lease,
-            time.watch())
+            boxClock.suspensionDetector())
         .start();
     lease.start();
     nodes.add(lease);
     return lease;
   }
 
-  /** Boxes are named by a number, which ends their address; others listen for no peer. */
+  /** Derives the address from the number in the box's name; other boxes accept no peers. */
   private static Optional<HostPort> addressOf(String box) {
     String number = box.replaceAll("[^0-9]", "");
     return number.isEmpty()
@@ -81,7 +84,7 @@
   }
 
   @Test
-  void oneNodeOfManyIsTheController() {
+  void exactlyOneNodeIsTheController() {
     for (int i = 0; i < 8; i++) {
       node(store, "box" + i, "1");
     }
@@ -91,7 +94,7 @@
   }
 
   @Test
-  void nodesFindWhereTheirPeersListen() {
+  void nodesLearnTheAddressesOfTheirPeers() {
     for (int i = 1; i <= 3; i++) {
       node(store, "box" + i, "1");
     }
@@ -104,7 +107,7 @@
   }
 
   @Test
-  void nodeWithoutAnAddressIsNoPeerButCounts() {
+  void nodeWithoutAnAddressIsCountedButIsNotAPeer() {
     node(store, "box1", "1");
     node(store, "silent", "1");
     advance(1000);
@@ -113,7 +116,7 @@
   }
 
   @Test
-  void stoppedControllerIsReplacedAtOnceWithAHigherFence() {
+  void stoppedControllerIsReplacedImmediatelyWithAHigherFence() {
     node(store, "box1", "1");
     advance(500);
     long before = nodes.get(0).controllerFence().getAsLong();
@@ -126,7 +129,7 @@
   }
 
   @Test
-  void controllerThatCannotRenewStopsBeforeAnotherBegins() {
+  void controllerThatCannotRenewGivesUpItsRoleInTime() {
     NodeLease first = node(store, "box1", "1");
     advance(500);
     store.down = true;
@@ -135,7 +138,7 @@
   }
 
   @Test
-  void controllerIsThereAgainAfterAnOutage() {
+  void oneControllerIsElectedAfterAnOutage() {
     node(store, "box1", "1");
     node(store, "box2", "1");
     advance(500);
@@ -148,7 +151,7 @@
   }
 
   @Test
-  void claimWhoseAnswerWasLostIsFoundByTheWatch() {
+  void claimWithALostResponseIsDiscoveredByTheWatch() {
     NodeLease first = node(store, "box1", "1");
     store.losesAnswers = false;
     advance(5);
@@ -160,7 +163,7 @@
   }
 
   @Test
-  void earlierRunOfABoxDoesNotCountTwice() {
+  void boxWithAnEarlierRunIsCountedOnce() {
     node(store, "box1", "1");
     advance(200);
     NodeLease second = node(store, "box1", "2");
@@ -169,7 +172,7 @@
   }
 
   @Test
-  void mostNodesOfALargeFleetSeeTheNextControllerBeforeTheyClaim() {
+  void mostNodesOfALargeFleetSeeTheNewControllerBeforeTheyClaim() {
     for (int i = 0; i < 85; i++) {
       node(store, "box" + i, "1");
     }
@@ -186,7 +189,7 @@
   }
 
   @Test
-  void nodesThatDoNotDecideCallTheStoreSeldom() {
+  void nodesThatAreNotTheControllerRarelyRenew() {
     for (int i = 0; i < 8; i++) {
       node(store, "box" + i, "1");
     }
@@ -198,7 +201,7 @@
   }
 
   @Test
-  void nodeIsCountedWhileItsEntryStands() {
+  void nodeIsCountedWhileItsEntryExists() {
     NodeLease first = node(store, "box1", "1");
     store.put(PREFIX + "nodes/box2/1", "");
     advance(500);
@@ -209,7 +212,7 @@
   }
 
   @Test
-  void entryWhoseWriteHadNoAnswerIsThereInTheEnd() {
+  void entryWhoseWriteHadNoResponseIsEventuallyPresent() {
     store.losesAnswers = false;
     NodeLease first = node(store, "box1", "1");
     store.losesAnswers = true;
@@ -221,7 +224,7 @@
   }
 
   @Test
-  void newsOfAnEarlierControllerChangesNothing() {
+  void changeOfAnEarlierControllerIsIgnored() {
     NodeLease first = node(store, "box1", "1");
     advance(500);
     long fence = first.controllerFence().getAsLong();
@@ -243,10 +246,10 @@
   }
 
   @Test
-  void nodeWhoseEntryLapsedInACutIsCountedAgainSoonAfterIt() {
+  void nodeWhoseEntryExpiredDuringAPartitionIsListedAgainSoon() {
     NodeLease other = node(store, "box1", "1");
     StoreLink link = new StoreLink(clock, store);
-    cutOffUntilItsEntryLapses(node(link, "box2", "1"), link);
+    partitionUntilEntryExpires(node(link, "box2", "1"), link);
     assertEquals(1, other.liveNodes());
     link.cut(false);
     advance(3500);
@@ -254,10 +257,10 @@
   }
 
   @Test
-  void nodeWhoseEntryLapsedInACutIsCountedAgainThoughTheStoreForgotIt() {
+  void nodeWhoseEntryExpiredDuringAPartitionIsListedAgainAfterHistoryLoss() {
     NodeLease other = node(store, "box1", "1");
     StoreLink link = new StoreLink(clock, store);
-    cutOffUntilItsEntryLapses(node(link, "box2", "1"), link);
+    partitionUntilEntryExpires(node(link, "box2", "1"), link);
     store.forgetHistory();
     link.cut(false);
     advance(6000);
@@ -268,16 +271,16 @@
   void nodeCountsItselfWhileItsEntryIsMissing() {
     node(store, "box1", "1");
     StoreLink link = new StoreLink(clock, store);
-    NodeLease cutOff = node(link, "box2", "1");
-    cutOffUntilItsEntryLapses(cutOff, link);
+    NodeLease partitioned = node(link, "box2", "1");
+    partitionUntilEntryExpires(partitioned, link);
     link.cut(false);
     for (int i = 0; i < 30; i++) {
       advance(100);
-      assertEquals(2, cutOff.liveNodes(), "after " + (i + 1) * 100 + " ms");
+      assertEquals(2, partitioned.liveNodes(), "after " + (i + 1) * 100 + " ms");
     }
   }
 
-  private void cutOffUntilItsEntryLapses(NodeLease node, StoreLink link) {
+  private void partitionUntilEntryExpires(NodeLease node, StoreLink link) {
     advance(2000);
     assertEquals(2, node.liveNodes());
     link.cut(true);
@@ -285,7 +288,7 @@
   }
 
   @Test
-  void entriesThatLapsedTogetherAreWrittenAgainOneAfterTheOther() {
+  void expiredEntriesOfAllNodesAreRewrittenAtALimitedRate() {
     int nodeCount = 200;
     for (int i = 0; i < nodeCount; i++) {
       node(store, "box" + i, "1");
@@ -294,22 +297,22 @@
     store.down = true;
     advance(15_000);
     store.down = false;
-    int most = 0;
+    int maxEntriesPerStep = 0;
     for (int i = 0; i < 60; i++) {
-      int before = entriesOpened();
+      int before = entriesWritten();
       advance(100);
-      most = Math.max(most, entriesOpened() - before);
+      maxEntriesPerStep = Math.max(maxEntriesPerStep, entriesWritten() - before);
     }
-    assertTrue(most <= 15, "in a tenth of a second: " + most);
+    assertTrue(maxEntriesPerStep <= 15, "in a tenth of a second: " + maxEntriesPerStep);
     assertEquals(nodeCount, nodes.get(0).liveNodes());
   }
 
-  private int entriesOpened() {
+  private int entriesWritten() {
     return Collections.frequency(store.calls, "create");
   }
 
   @Test
-  void nodesWhoseEntriesLapsedTogetherStillShareWhatAllMayUse() {
+  void nodesWhoseEntriesExpiredTogetherStillShareTheLimits() {
     List<StoreLink> links = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       links.add(new StoreLink(clock, store));
@@ -326,7 +329,7 @@
   }
 
   @Test
-  void nodeThatStaysAwayLeavesItsShareToOthers() {
+  void shareOfAStoppedNodeIsFreedAfterTheGracePeriod() {
     node(store, "box1", "1");
     NodeLease second = node(store, "box2", "1");
     advance(1000);
@@ -338,11 +341,11 @@
   }
 
   @Test
-  void laterRunOfABoxTakesThePlaceOfTheFormer() {
+  void laterRunOnABoxReplacesTheEarlierRun() {
     node(store, "box1", "1");
-    NodeLease former = node(store, "box2", "1");
+    NodeLease earlier = node(store, "box2", "1");
     advance(1000);
-    former.stop();
+    earlier.stop();
     node(store, "box2", "2");
     advance(2000);
     assertEquals(2, nodes.get(0).sharingNodes());
@@ -350,28 +353,28 @@
   }
 
   @Test
-  void controllerThatWasSuspendedHoldsNoFenceUntilItsLeaseIsRenewed() {
-    BoxTime time = new BoxTime(clock);
-    NodeLease suspended = node(store, "a", "1", time);
+  void suspendedControllerHasNoFenceUntilItsLeaseIsRenewed() {
+    BoxClock boxClock = new BoxClock(clock);
+    NodeLease suspended = node(store, "a", "1", boxClock);
     advance(2000);
     assertTrue(suspended.controllerFence().isPresent());
-    time.step(2500);
+    boxClock.step(2500);
     assertTrue(suspended.controllerFence().isEmpty());
     advance(20);
     assertTrue(suspended.controllerFence().isPresent());
   }
 
   @Test
-  void controllerWhoseLeaseEndedWhileItWasSuspendedIsNotTheControllerAnyMore() {
-    BoxTime time = new BoxTime(clock);
+  void controllerWhoseLeaseExpiredDuringASuspensionIsNoLongerTheController() {
+    BoxClock boxClock = new BoxClock(clock);
     StoreLink link = new StoreLink(clock, store);
-    NodeLease suspended = node(link, "a", "1", time);
+    NodeLease suspended = node(link, "a", "1", boxClock);
     advance(2000);
     NodeLease other = node(store, "b", "1");
-    // The steady clock of the suspended box stands still; what it sees of the store does too.
+    // During its suspension the box sees no responses of the store, and its monotonic clock stops.
     link.cut(true);
     advance(2900);
-    time.step(5000);
+    boxClock.step(5000);
     assertTrue(suspended.controllerFence().isEmpty());
     link.cut(false);
     advance(5000);
@@ -393,11 +396,11 @@
   }
 
   @Test
-  void nodesWhoseEntriesAStoreForgotAreListedAgainSoon() {
-    store.takeCopy();
+  void nodesMissingFromARestoredBackupAreListedAgainSoon() {
+    store.takeBackup();
     start(8);
     advance(3000);
-    store.comeBackFromCopy();
+    store.restoreBackup();
     advance(2500);
     for (NodeLease node : nodes) {
       assertEquals(8, node.liveNodes());
@@ -405,12 +408,12 @@
   }
 
   @Test
-  void nodesWhoseEntriesAreInTheCopyStayListed() {
+  void nodesInARestoredBackupStayListed() {
     start(8);
     advance(3000);
-    store.takeCopy();
+    store.takeBackup();
     advance(3000);
-    store.comeBackFromCopy();
+    store.restoreBackup();
     for (int i = 0; i < 40; i++) {
       advance(500);
       if (i > 4) {
@@ -420,46 +423,46 @@
   }
 
   @Test
-  void controllerAfterAStoreForgotItsLeaseHasAHigherFence() {
-    store.takeCopy();
+  void controllerElectedAfterARestoreHasAHigherFence() {
+    store.takeBackup();
     start(4);
     advance(3000);
     long before = highestFence();
-    store.comeBackFromCopy();
+    store.restoreBackup();
     advance(6000);
     assertEquals(1, controllers());
     assertTrue(highestFence() > before, highestFence() + " after " + before);
   }
 
   @Test
-  void leaseWhoseNumberIsGivenToAnotherNodeIsNotHeldByBoth() {
-    store.takeCopy();
+  void reassignedLeaseIdIsNotUsedByBothNodes() {
+    store.takeBackup();
     start(1);
     advance(3000);
-    NodeLease former = nodes.get(0);
+    NodeLease earlier = nodes.get(0);
     long before = highestFence();
-    store.comeBackFromCopy();
-    // Its leases take the numbers that the former's had.
+    store.restoreBackup();
+    // Its leases get the ids of the earlier node's leases.
     NodeLease other = node(store, "other", "1");
     advance(1500);
     assertTrue(controllers() <= 1, controllers() + " controllers");
     advance(6000);
     assertEquals(1, controllers());
     assertTrue(highestFence() > before);
-    assertEquals(2, former.liveNodes());
+    assertEquals(2, earlier.liveNodes());
     assertEquals(2, other.liveNodes());
   }
 
   @Test
-  void controllerThatEndedIsNotThereAgainWithTheCopy() {
+  void stoppedControllerDoesNotReturnWithARestoredBackup() {
     start(2);
     advance(1000);
-    store.takeCopy();
+    store.takeBackup();
     NodeLease first = controller();
     long before = highestFence();
     first.stop();
     advance(2000);
-    store.comeBackFromCopy();
+    store.restoreBackup();
     advance(8000);
     assertTrue(first.controllerFence().isEmpty());
     assertEquals(1, controllers());
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/PrefixFollowerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/PrefixFollowerTest.java
@@ -18,13 +18,13 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Checks that a follower sees every change and never overstates how fresh its view is. */
+/** Tests that a follower sees every change and never reports its view as fresher than it is. */
 final class PrefixFollowerTest {
   private final PausedExecutor clock = PausedExecutor.create();
-  private final StoreInMemory store = new StoreInMemory(clock);
-  private final BoxTime time = new BoxTime(clock);
+  private final InMemorySharedStore store = new InMemorySharedStore(clock);
+  private final BoxClock boxClock = new BoxClock(clock);
   private final Map<String, String> seen = new TreeMap<>();
-  private int changesHeard;
+  private int changesReceived;
   private final PrefixFollower follower =
       PrefixFollower.create(
           clock,
@@ -43,7 +43,7 @@
 
             @Override
             public void change(StoreChanges.Change change) {
-              changesHeard++;
+              changesReceived++;
               if (change.removed()) {
                 seen.remove(change.item().key());
               } else {
@@ -51,7 +51,7 @@
               }
             }
           },
-          time.watch());
+          boxClock.suspensionDetector());
 
   private void advance(int millis) {
     clock.advance(Duration.ofMillis(millis));
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void seesWhatIsThereAndWhatChanges() {
+  void seesExistingItemsAndChanges() {
     store.put("a/1", "x");
     follower.start();
     advance(10);
@@ -74,11 +74,11 @@
   }
 
   /**
-   * The load of an operator that changes a large value many times in a second: each reading takes a
-   * node's time, and only the last counts.
+   * Guards against CPU load on all nodes when an operator changes a large value many times in a
+   * second: parsing it is expensive, and only the last value matters.
    */
   @Test
-  void valueThatChangedSeveralTimesIsHandedOverOnce() {
+  void severalChangesOfAKeyAreDeliveredOnce() {
     store.put("a/1", "x");
     follower.start();
     advance(10);
@@ -90,11 +90,11 @@
     store.put("a/2", "z");
     advance(300);
     assertEquals(Map.of("a/1", "v5", "a/2", "z"), seen);
-    assertEquals(2, changesHeard);
+    assertEquals(2, changesReceived);
   }
 
   @Test
-  void viewIsConfirmedWhileNothingChanges() {
+  void viewStaysFreshWithoutChanges() {
     follower.start();
     for (int i = 0; i < 100; i++) {
       advance(100);
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void ageCountsFromTheQuestionAndGrowsInAnOutage() {
+  void ageCountsFromTheRequestAndGrowsDuringAnOutage() {
     follower.start();
     advance(5000);
     store.down = true;
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void forgottenHistoryLeadsToAWholeRead() {
+  void lostHistoryCausesAFullRead() {
     store.put("a/1", "x");
     follower.start();
     advance(200);
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void outageCostsFewCalls() {
+  void fewCallsAreMadeDuringAnOutage() {
     follower.start();
     advance(100);
     store.down = true;
@@ -138,23 +138,23 @@
   }
 
   @Test
-  void viewIsOfUnknownAgeAfterASuspensionUntilItIsConfirmedAnew() {
+  void viewIsUnconfirmedAfterASuspensionUntilTheNextCall() {
     follower.start();
     advance(500);
     assertTrue(follower.isConfirmedWithin(Duration.ofSeconds(5)));
-    time.step(3000);
+    boxClock.step(3000);
     assertFalse(follower.isConfirmedWithin(Duration.ofSeconds(5)));
     advance(20);
     assertTrue(follower.isConfirmedWithin(Duration.ofSeconds(5)));
   }
 
   @Test
-  void callThatWasAskedBeforeASuspensionConfirmsNothing() {
+  void callSentBeforeASuspensionDoesNotConfirmTheView() {
     follower.start();
     advance(500);
-    time.step(3000);
+    boxClock.step(3000);
     store.put("a/1", "x");
-    // The watch that waited through the suspension is answered now.
+    // The watch that was pending during the suspension completes now.
     advance(5);
     assertFalse(follower.isConfirmedWithin(Duration.ofSeconds(60)));
     advance(20);
@@ -162,10 +162,10 @@
   }
 
   @Test
-  void changeDuringASuspensionIsSeenAtOnce() {
+  void changeDuringASuspensionIsSeenImmediately() {
     follower.start();
     advance(500);
-    time.step(3000);
+    boxClock.step(3000);
     store.put("a/1", "x");
     boolean unused = follower.isConfirmedWithin(Duration.ofSeconds(5));
     advance(20);
@@ -173,58 +173,58 @@
   }
 
   @Test
-  void followerGoesOnAsBeforeAfterASuspension() {
+  void callRateIsUnchangedAfterASuspension() {
     follower.start();
     advance(500);
-    time.step(3000);
+    boxClock.step(3000);
     boolean unused = follower.isConfirmedWithin(Duration.ofSeconds(5));
     advance(20);
     int calls = store.calls.size();
     advance(16_000);
-    // One watch of 1.5 s and a pause of 0.1 s after the other.
+    // Alternately a watch of 1.5 s and a pause of 0.1 s.
     assertEquals(calls + 10, store.calls.size(), 1);
   }
 
-  private void comeBackWithout(String key) {
-    store.takeCopy();
+  private void restoreBackupWithout(String key) {
+    store.takeBackup();
     store.put(key, "lost");
     advance(300);
     assertTrue(seen.containsKey(key));
     store.down = true;
     advance(200);
     store.down = false;
-    store.comeBackFromCopy();
+    store.restoreBackup();
   }
 
   @Test
-  void changeUnderANumberThatIsGivenOutAgainIsSeen() {
+  void changeWithAReusedRevisionIsSeen() {
     store.put("a/1", "x");
     follower.start();
     advance(300);
-    comeBackWithout("a/2");
+    restoreBackupWithout("a/2");
     store.put("a/3", "y");
     advance(3000);
     assertEquals(Map.of("a/1", "x", "a/3", "y"), seen);
   }
 
   @Test
-  void sameWhereTheHistoryIsGoneToo() {
+  void changeWithAReusedRevisionIsSeenWithoutHistory() {
     store.put("a/1", "x");
     follower.start();
     advance(300);
-    store.copiesHaveNoHistory = true;
-    comeBackWithout("a/2");
+    store.backupsHaveNoHistory = true;
+    restoreBackupWithout("a/2");
     store.put("a/3", "y");
     advance(3000);
     assertEquals(Map.of("a/1", "x", "a/3", "y"), seen);
   }
 
   @Test
-  void storeThatComesBackAgainAndAgainIsFollowed() {
+  void repeatedlyRestoredStoreIsFollowed() {
     follower.start();
     for (int i = 0; i < 5; i++) {
       advance(300);
-      comeBackWithout("a/lost" + i);
+      restoreBackupWithout("a/lost" + i);
       store.put("a/" + i, "y");
     }
     advance(3000);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/StoreLink.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/StoreLink.java
@@ -13,61 +13,62 @@
 import org.vaneworks.coordination.shared.SharedStoreException;
 import org.vaneworks.coordination.shared.SharedStoreException.Kind;
 import org.vaneworks.coordination.shared.StoreChanges;
-import org.vaneworks.coordination.shared.StoreEras;
-import org.vaneworks.coordination.shared.StoreView;
+import org.vaneworks.coordination.shared.StoreEraTracker;
+import org.vaneworks.coordination.shared.StoreSnapshot;
 import org.vaneworks.state.StorePosition;
 
 /**
- * One node's way to the shared store. While it is cut the store goes on for everybody else; a call
- * that is begun or answered meanwhile fails when its limit is over, also if the way is open again
- * by then.
+ * One node's connection to the shared store, which can be cut for this node alone.
+ *
+ * <p>A call that is started or answered while the connection is cut fails after its timeout, even
+ * if the connection has been restored by then.
  */
 public final class StoreLink implements SharedStore {
-  private static final long CALL_LIMIT_MILLIS = 900;
+  private static final long CALL_TIMEOUT_MILLIS = 900;
 
   private final Executor clock;
-  private final StoreInMemory store;
-  private final StoreEras eras = StoreEras.create();
+  private final InMemorySharedStore store;
+  private final StoreEraTracker eras = StoreEraTracker.create();
   private boolean cut;
-  private int lateMillis;
+  private int responseDelayMillis;
 
-  /** Creates an open way. */
-  public StoreLink(Executor clock, StoreInMemory store) {
+  /** Creates a connection that is not cut. */
+  public StoreLink(Executor clock, InMemorySharedStore store) {
     this.clock = clock;
     this.store = store;
   }
 
-  /** Cuts the way, or opens it again. */
+  /** Cuts or restores the connection. */
   public void cut(boolean value) {
     cut = value;
   }
 
-  private <T> CompletableFuture<T> unlessCut(Supplier<CompletableFuture<T>> call) {
-    return cut ? unanswered() : Async.compose(call.get(), this::answerUnlessCut);
+  private <T> CompletableFuture<T> callUnlessCut(Supplier<CompletableFuture<T>> call) {
+    return cut ? unanswered() : Async.compose(call.get(), this::respondUnlessCut);
   }
 
-  /** Lets answers take that long from now on, also those under way when the store comes back. */
-  public void late(int millis) {
-    lateMillis = millis;
+  /** Delays all responses from now on; a response may thus arrive after the store was restored. */
+  public void delayAnswers(int millis) {
+    responseDelayMillis = millis;
   }
 
-  private <T> CompletableFuture<T> answerUnlessCut(T answer, Throwable failure) {
-    OptionalLong told = store.down ? OptionalLong.empty() : OptionalLong.of(store.era());
-    if (lateMillis == 0) {
-      return handOn(told, answer, failure);
+  private <T> CompletableFuture<T> respondUnlessCut(T answer, Throwable failure) {
+    OptionalLong reportedEra = store.down ? OptionalLong.empty() : OptionalLong.of(store.era());
+    if (responseDelayMillis == 0) {
+      return complete(reportedEra, answer, failure);
     }
-    CompletableFuture<Void> wait = Async.delay(clock, Duration.ofMillis(lateMillis));
-    return wait.thenCompose(over -> handOn(told, answer, failure));
+    CompletableFuture<Void> wait = Async.delay(clock, Duration.ofMillis(responseDelayMillis));
+    return wait.thenCompose(done -> complete(reportedEra, answer, failure));
   }
 
-  /** Hands an answer on; like a client of the store, it takes the answer's era first. */
-  private <T> CompletableFuture<T> handOn(OptionalLong told, T answer, Throwable failure) {
+  /** Completes a call; checks the era of the response first, as a client of the store does. */
+  private <T> CompletableFuture<T> complete(OptionalLong reportedEra, T answer, Throwable failure) {
     if (cut) {
       return unanswered();
     }
-    if (told.isPresent() && !eras.accepts(told)) {
+    if (reportedEra.isPresent() && !eras.accepts(reportedEra)) {
       return CompletableFuture.failedFuture(
-          SharedStoreException.of(Kind.UNKNOWN_EFFECT, "an answer of a former era"));
+          SharedStoreException.of(Kind.UNKNOWN_EFFECT, "the response is of an earlier era"));
     }
     return failure == null
         ? CompletableFuture.completedFuture(answer)
@@ -76,10 +77,12 @@
 
   private <T> CompletableFuture<T> unanswered() {
     CompletableFuture<T> unanswered = new CompletableFuture<>();
-    SharedStoreException silence =
+    SharedStoreException timeout =
         SharedStoreException.of(Kind.UNKNOWN_EFFECT, "the store did not answer");
     clock.schedule(
-        () -> unanswered.completeExceptionally(silence), CALL_LIMIT_MILLIS, TimeUnit.MILLISECONDS);
+        () -> unanswered.completeExceptionally(timeout),
+        CALL_TIMEOUT_MILLIS,
+        TimeUnit.MILLISECONDS);
     return unanswered;
   }
 
@@ -89,32 +92,32 @@
   }
 
   @Override
-  public CompletableFuture<StoreView> list(String prefix) {
-    return unlessCut(() -> store.list(prefix));
+  public CompletableFuture<StoreSnapshot> list(String prefix) {
+    return callUnlessCut(() -> store.list(prefix));
   }
 
   @Override
   public CompletableFuture<StoreChanges> watch(String prefix, StorePosition after, Duration wait) {
-    return unlessCut(() -> store.watch(prefix, after, wait));
+    return callUnlessCut(() -> store.watch(prefix, after, wait));
   }
 
   @Override
   public CompletableFuture<Optional<StorePosition>> create(String key, String value, long lease) {
-    return unlessCut(() -> store.create(key, value, lease));
+    return callUnlessCut(() -> store.create(key, value, lease));
   }
 
   @Override
   public CompletableFuture<Long> openLease(Duration lifetime) {
-    return unlessCut(() -> store.openLease(lifetime));
+    return callUnlessCut(() -> store.openLease(lifetime));
   }
 
   @Override
   public CompletableFuture<Boolean> renew(long lease) {
-    return unlessCut(() -> store.renew(lease));
+    return callUnlessCut(() -> store.renew(lease));
   }
 
   @Override
   public CompletableFuture<Void> endLease(long lease) {
-    return unlessCut(() -> store.endLease(lease));
+    return callUnlessCut(() -> store.endLease(lease));
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/package-info.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of what nodes share through the platform's store. */
+/** Tests of the state that nodes share through the platform's store. */
 package org.vaneworks.tests.shared;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/ClaimDesk.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/ClaimDesk.java
@@ -73,7 +73,7 @@
   /** Claims a key; returns the claim in force, this one or an earlier one. */
   CompletableFuture<Claim> claim(Claim claim) {
     int shard = shardOf(claim.key());
-    String writer = members.pick("claims/" + shard).get(0);
+    String writer = members.rank("claims/" + shard).get(0);
     Optional<Member> peer =
         members.find(writer).filter(member -> !writer.equals(members.self().identity()));
     if (peer.isEmpty()) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/ConfigurationSpread.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/ConfigurationSpread.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import org.vaneworks.coordination.concurrent.Async;
-import org.vaneworks.coordination.configuration.ConfigurationBoard;
+import org.vaneworks.coordination.configuration.ActiveConfiguration;
 import org.vaneworks.coordination.membership.Gossip;
 import org.vaneworks.coordination.membership.PeerLink;
 import org.vaneworks.coordination.membership.PeerMessage;
@@ -38,13 +38,13 @@
   private static final int PAGES_PER_MESSAGE = 32;
 
   private final Executor executor;
-  private final ConfigurationBoard board;
+  private final ActiveConfiguration board;
   private final PeerLink link;
 
   @GuardedBy("this")
   private long fetching;
 
-  ConfigurationSpread(Executor executor, ConfigurationBoard board, PeerLink link) {
+  ConfigurationSpread(Executor executor, ActiveConfiguration board, PeerLink link) {
     this.executor = checkNotNull(executor);
     this.board = checkNotNull(board);
     this.link = checkNotNull(link);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/Node.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/Node.java
@@ -9,7 +9,7 @@
 import org.vaneworks.coordination.admission.AdmissionControl;
 import org.vaneworks.coordination.boxes.Box;
 import org.vaneworks.coordination.concurrent.Async;
-import org.vaneworks.coordination.configuration.ConfigurationBoard;
+import org.vaneworks.coordination.configuration.ActiveConfiguration;
 import org.vaneworks.coordination.configuration.ConfigurationFollower;
 import org.vaneworks.coordination.endpoints.EndpointHint;
 import org.vaneworks.coordination.endpoints.EndpointMonitor;
@@ -49,7 +49,7 @@
   private final NodeOutside outside;
   private final Lifecycle lifecycle = Lifecycle.create();
   private final Membership membership;
-  private final ConfigurationBoard board;
+  private final ActiveConfiguration board;
   private final ConfigurationFollower follower;
   private final ConfigurationSpread spread;
   private final EndpointTable table;
@@ -63,7 +63,7 @@
         BudgetedStore.of(
             outside.store(), outside.executor(), outside.counters(), settings.limits().store());
     this.board =
-        ConfigurationBoard.create(
+        ActiveConfiguration.create(
             outside.executor(), outside.configurationFormat(), PageSource.of(store));
     this.membership = createMembership();
     MemberTable members = membership.table();
@@ -72,7 +72,7 @@
             outside.executor(),
             store,
             board,
-            () -> members.isPickedHere("head", HEAD_WATCHERS),
+            () -> members.isAssignedHere("head", HEAD_WATCHERS),
             outside.random());
     this.spread = new ConfigurationSpread(outside.executor(), board, outside.peers());
     this.table =
@@ -85,7 +85,7 @@
             outside.endpoints(),
             table,
             outside.random(),
-            () -> members.isPickedHere("boxes", LIST_READERS),
+            () -> members.isAssignedHere("boxes", LIST_READERS),
             this::noteBoxes);
     RequestWiring wiring = new RequestWiring(settings, outside, table, members::size);
     RoutePlanner planner = wiring.planner();
@@ -120,12 +120,12 @@
     board.onChange(
         snapshot -> {
           becomeReady();
-          membership.tellSome();
+          membership.gossipNow();
         });
     membership.onNewerVersion(spread::fetch);
     membership.onLeaving(
         hint -> table.find(hint.endpoint()).ifPresent(state -> table.leaving(state, "a peer")));
-    table.onLeaving(state -> membership.tellLeaving(new EndpointHint(state.endpoint().id())));
+    table.onLeaving(state -> membership.announceLeaving(new EndpointHint(state.endpoint().id())));
     monitor.onUsable(admission::recheck);
   }
 
@@ -193,7 +193,7 @@
         Async.delay(outside.executor(), times.balancerLag())
             .thenCompose(lagOver -> refuseAndDrain())
             .thenCompose(drained -> gate.once().handOver())
-            .thenAccept(membership::tellLeft);
+            .thenAccept(membership::announceLeft);
     CompletableFuture<Void> bounded = new CompletableFuture<>();
     var timer = outside.executor().schedule(() -> bounded.complete(null), times.deadline());
     Async.onDone(gone, outside.executor(), (done, failure) -> bounded.complete(null));
@@ -239,7 +239,7 @@
   }
 
   /** Returns the configuration in force. */
-  public ConfigurationBoard configuration() {
+  public ActiveConfiguration configuration() {
     return board;
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/OnceService.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/OnceService.java
@@ -329,7 +329,7 @@
     List<RecordsPart> parts = parts();
     String self = members.self().identity();
     List<Member> candidates =
-        members.pick("records/" + self).stream()
+        members.rank("records/" + self).stream()
             .filter(identity -> !identity.equals(self))
             .map(members::find)
             .flatMap(Optional::stream)
--- a/vaneworks/src/main/java/org/vaneworks/coordination/RequestGate.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/RequestGate.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Function;
 import org.vaneworks.coordination.concurrent.Async;
-import org.vaneworks.coordination.configuration.ConfigurationBoard;
+import org.vaneworks.coordination.configuration.ActiveConfiguration;
 import org.vaneworks.coordination.endpoints.ServiceCall;
 import org.vaneworks.coordination.endpoints.ServiceReply;
 import org.vaneworks.coordination.membership.PeerMessage;
@@ -38,7 +38,7 @@
  */
 public final class RequestGate {
   private final Lifecycle lifecycle;
-  private final ConfigurationBoard board;
+  private final ActiveConfiguration board;
   private final PipelineDriver driver;
   private final ServiceRouter services;
   private final Counters counters;
@@ -46,7 +46,7 @@
 
   RequestGate(
       Lifecycle lifecycle,
-      ConfigurationBoard board,
+      ActiveConfiguration board,
       PipelineDriver driver,
       ServiceRouter services,
       Counters counters,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/RequestWiring.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/RequestWiring.java
@@ -6,7 +6,7 @@
 import org.vaneworks.coordination.admission.AdmissionCost;
 import org.vaneworks.coordination.admission.AdmissionPolicy;
 import org.vaneworks.coordination.admission.PaceLimit;
-import org.vaneworks.coordination.configuration.ConfigurationBoard;
+import org.vaneworks.coordination.configuration.ActiveConfiguration;
 import org.vaneworks.coordination.endpoints.EndpointTable;
 import org.vaneworks.coordination.membership.MemberTable;
 import org.vaneworks.coordination.once.OnceBook;
@@ -56,7 +56,7 @@
 
   RequestGate gate(
       Lifecycle lifecycle,
-      ConfigurationBoard board,
+      ActiveConfiguration board,
       RoutePlanner planner,
       AdmissionControl admission,
       PlatformStore store,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/ServiceRouter.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/ServiceRouter.java
@@ -84,7 +84,7 @@
     RefusalException late =
         Refusal.mayHaveRun(Reason.DEADLINE, "service " + service + " did not answer in " + bounded)
             .toException();
-    return Async.within(
+    return Async.withTimeout(
         executor, bounded, attempt(service, call, repeatable, new HashSet<>()), late);
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/concurrent/Async.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/concurrent/Async.java
@@ -37,7 +37,7 @@
   }
 
   /** Returns a copy of the future that fails with the given failure if it takes too long. */
-  public static <T> CompletableFuture<T> within(
+  public static <T> CompletableFuture<T> withTimeout(
       Executor executor, Duration limit, CompletableFuture<T> future, RuntimeException late) {
     CompletableFuture<T> bounded = new CompletableFuture<>();
     var timer = executor.schedule(() -> bounded.completeExceptionally(late), limit);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationBoard.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ActiveConfiguration.java
@@ -32,7 +32,7 @@
  * <p>Heads are offered by whoever hears of one: the store's watch, the slow poll, a peer. Thread-
  * safe; the lock is held for the exchange of references only, not while pages are fetched.
  */
-public final class ConfigurationBoard {
+public final class ActiveConfiguration {
   private final ConfigurationFormat format;
   private final PageSource store;
   private final Executor executor;
@@ -54,7 +54,7 @@
   private volatile ConfigurationSnapshot snapshot = ConfigurationSnapshot.empty();
   private volatile boolean loaded;
 
-  private ConfigurationBoard(Executor executor, ConfigurationFormat format, PageSource store) {
+  private ActiveConfiguration(Executor executor, ConfigurationFormat format, PageSource store) {
     this.executor = checkNotNull(executor);
     this.format = checkNotNull(format);
     this.store = checkNotNull(store);
@@ -65,9 +65,9 @@
    *
    * @param store where pages are read that the offering side doesn't have
    */
-  public static ConfigurationBoard create(
+  public static ActiveConfiguration create(
       Executor executor, ConfigurationFormat format, PageSource store) {
-    return new ConfigurationBoard(executor, format, store);
+    return new ActiveConfiguration(executor, format, store);
   }
 
   /** Adds a listener that is told of each newer configuration. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationEditor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationEditor.java
@@ -144,7 +144,7 @@
     return load()
         .thenCompose(
             base ->
-                archived(base, version)
+                loadArchived(base, version)
                     .thenCompose(
                         target ->
                             apply(
@@ -153,7 +153,8 @@
   }
 
   /** Reads an earlier version, which the history must remember. */
-  public CompletableFuture<StoredConfiguration> archived(StoredConfiguration now, long version) {
+  public CompletableFuture<StoredConfiguration> loadArchived(
+      StoredConfiguration now, long version) {
     Optional<ChangeRecord> record =
         now.head().history().stream().filter(r -> r.version() == version).findFirst();
     checkArgument(record.isPresent(), "version %s is not in the history", version);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationFollower.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationFollower.java
@@ -31,7 +31,7 @@
 
   private final Executor executor;
   private final PlatformStore store;
-  private final ConfigurationBoard board;
+  private final ActiveConfiguration board;
   private final BooleanSupplier watches;
   private final Random random;
   private volatile boolean stopped;
@@ -41,7 +41,7 @@
   private ConfigurationFollower(
       Executor executor,
       PlatformStore store,
-      ConfigurationBoard board,
+      ActiveConfiguration board,
       BooleanSupplier watches,
       Random random) {
     this.executor = checkNotNull(executor);
@@ -59,7 +59,7 @@
   public static ConfigurationFollower create(
       Executor executor,
       PlatformStore store,
-      ConfigurationBoard board,
+      ActiveConfiguration board,
       BooleanSupplier watches,
       Random random) {
     return new ConfigurationFollower(executor, store, board, watches, random);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointMonitor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointMonitor.java
@@ -128,7 +128,7 @@
     }
     RuntimeException late = StoreException.withoutEffect("the box list did not answer in time");
     Async.onDone(
-        Async.within(executor, LIST_LIMIT, list.boxes(), late),
+        Async.withTimeout(executor, LIST_LIMIT, list.boxes(), late),
         executor,
         (boxes, failure) -> {
           if (failure == null) {
@@ -200,7 +200,7 @@
     long sentAt = executor.currentTime(NANOSECONDS);
     RuntimeException late = StoreException.withoutEffect("no status in time");
     Async.onDone(
-        Async.within(executor, STATUS_LIMIT, client.status(watch.box.address()), late),
+        Async.withTimeout(executor, STATUS_LIMIT, client.status(watch.box.address()), late),
         executor,
         (status, failure) -> {
           if (failure == null) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/HealthWatch.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/HealthWatch.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeoutException;
 import org.vaneworks.coordination.concurrent.Async;
-import org.vaneworks.coordination.concurrent.OwnDelay;
+import org.vaneworks.coordination.concurrent.EventLoopDelay;
 import org.vaneworks.telemetry.Event;
 import org.vaneworks.telemetry.EventLog;
 
@@ -164,7 +164,7 @@
       return;
     }
     boolean refused = failure instanceof NobodyListensException;
-    if (silent && OwnDelay.excuses(took.minus(limit), question.uncounted())) {
+    if (silent && EventLoopDelay.explainsSilence(took.minus(limit), question.uncounted())) {
       fleet.statements().noteUncounted();
       ask(question.uncountedNext());
     } else if (!refused && question.counted() < UNANSWERED) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressWatch.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressWatch.java
@@ -4,7 +4,7 @@
 
 import io.servicetalk.concurrent.Cancellable;
 import java.time.Duration;
-import org.vaneworks.coordination.concurrent.OwnDelay;
+import org.vaneworks.coordination.concurrent.EventLoopDelay;
 import org.vaneworks.coordination.relay.EnginePath;
 import org.vaneworks.coordination.relay.PathPart;
 import org.vaneworks.telemetry.Metric;
@@ -145,10 +145,10 @@
       return;
     }
     boolean stalled = now() - lastProgress >= stallLimit().toNanos();
-    if (stalled && OwnDelay.excuses(late, uncounted)) {
+    if (stalled && EventLoopDelay.explainsSilence(late, uncounted)) {
       uncounted++;
       context.counters().count(Metric.UNCOUNTED_SILENCES, "look");
-      checkAfter(OwnDelay.READ_FIRST.toNanos());
+      checkAfter(EventLoopDelay.SOCKET_READ_GRACE.toNanos());
       return;
     }
     uncounted = 0;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/membership/MemberTable.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/membership/MemberTable.java
@@ -222,14 +222,14 @@
   }
 
   /** Returns the identities that a task falls on first, this node's among them. */
-  public List<String> pick(String task) {
+  public List<String> rank(String task) {
     Stream<String> identities =
         Stream.concat(Stream.of(self().identity()), present().stream().map(Member::identity));
     return Rendezvous.order(task, identities);
   }
 
   /** Returns whether a task of this data centre falls on this node, among the first few. */
-  public boolean isPickedHere(String task, int among) {
+  public boolean isAssignedHere(String task, int among) {
     Member own = self();
     Stream<String> identities =
         Stream.concat(
--- a/vaneworks/src/main/java/org/vaneworks/coordination/membership/Membership.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/membership/Membership.java
@@ -229,9 +229,9 @@
   }
 
   /** Passes on that an endpoint leaves. */
-  public void tellLeaving(EndpointHint hint) {
+  public void announceLeaving(EndpointHint hint) {
     if (addHint(hint)) {
-      tellSome();
+      gossipNow();
     }
   }
 
@@ -247,7 +247,7 @@
   }
 
   /** Tells a few members at once what is new here; they tell others in turn. */
-  public void tellSome() {
+  public void gossipNow() {
     List<Member> members = new ArrayList<>(table.present());
     Collections.shuffle(members, random);
     members.stream()
@@ -256,9 +256,9 @@
   }
 
   /** Tells that this node left, and who has its records. */
-  public void tellLeft(Optional<String> successor) {
+  public void announceLeft(Optional<String> successor) {
     table.selfIs(MemberStatus.LEFT, successor);
-    tellSome();
+    gossipNow();
   }
 
   private void tell(HostPort address, PeerMessage message) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/SharedQuarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/SharedQuarantine.java
@@ -20,7 +20,7 @@
 import org.vaneworks.coordination.shared.SharedStore;
 import org.vaneworks.coordination.shared.SharedStoreException;
 import org.vaneworks.coordination.shared.StoreChanges;
-import org.vaneworks.coordination.shared.StoreSilence;
+import org.vaneworks.coordination.shared.StoreOutage;
 import org.vaneworks.coordination.shared.StoredItem;
 import org.vaneworks.state.RequestContent;
 import org.vaneworks.telemetry.Counters;
@@ -249,7 +249,7 @@
   }
 
   @Override
-  public void silent(StoreSilence silence) {
+  public void unavailable(StoreOutage silence) {
     storeSilentAt = now();
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/MeasuredStore.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/MeasuredStore.java
@@ -13,10 +13,11 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * Counts the calls to a store by purpose, and records how long those take that do not wait.
+ * A store decorator that counts calls by purpose and records the latency of all calls except
+ * watches, which wait for changes.
  *
- * <p>A failed call is counted and recorded too: its time shows a store that hangs. Thread-safe if
- * the store is.
+ * <p>Failed calls are counted and recorded as well, because their latency shows a store that hangs.
+ * Thread-safe if the underlying store is.
  */
 public final class MeasuredStore implements SharedStore {
   private final Executor clock;
@@ -30,13 +31,13 @@
     store.onNewEra(era -> counters.count(Metric.STORE_ERAS, "changed"));
   }
 
-  /** Returns a store that passes all calls on. */
+  /** Returns a decorator that forwards all calls to the given store. */
   public static MeasuredStore of(Executor clock, SharedStore store, Counters counters) {
     return new MeasuredStore(clock, store, counters);
   }
 
   @Override
-  public CompletableFuture<StoreView> list(String prefix) {
+  public CompletableFuture<StoreSnapshot> list(String prefix) {
     return measured("list", store.list(prefix));
   }
 
@@ -73,10 +74,10 @@
 
   private <T> CompletableFuture<T> measured(String purpose, CompletableFuture<T> call) {
     counters.count(Metric.STORE_CALLS, purpose);
-    long askedAt = clock.currentTime(NANOSECONDS);
+    long startedAt = clock.currentTime(NANOSECONDS);
     return call.whenComplete(
         (answer, failure) ->
             counters.record(
-                Metric.STORE_TIME, Duration.ofNanos(clock.currentTime(NANOSECONDS) - askedAt)));
+                Metric.STORE_TIME, Duration.ofNanos(clock.currentTime(NANOSECONDS) - startedAt)));
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/NodeLease.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/NodeLease.java
@@ -23,52 +23,54 @@
 import org.vaneworks.telemetry.EventLog;
 
 /**
- * This node's leases in the store: that of its entry among the live nodes and, on one node, the
- * controller's.
+ * This node's leases in the store: the lease of its entry in the list of live nodes and, on the
+ * node that is elected, the controller's lease.
  *
- * <p>The entry only tells how many nodes share the endpoints and where they listen for their peers,
- * so its lease is long: short ones were two thirds of all calls of a large fleet. The controller's
- * is short, and opened to claim it. Confined to the node's event loop.
+ * <p>The entries only tell how many nodes share the endpoints and at which addresses they accept
+ * connections from peers, so their lease is long: with a short one, renewals were two thirds of all
+ * store calls of a large fleet. The controller's lease is short, and is opened only to claim the
+ * role. Confined to the node's event loop.
  */
 public final class NodeLease implements PrefixFollower.Listener {
   private static final Duration ENTRY_LIFETIME = Duration.ofSeconds(12);
   private static final Duration ENTRY_RENEWAL = Duration.ofSeconds(4);
 
-  /** How long after an entry was not written, perhaps, it is written again. */
-  private static final Duration ENTRY_RETRY = Duration.ofSeconds(1);
+  /** Delay before an entry whose write failed is written again. */
+  private static final Duration ENTRY_RETRY_DELAY = Duration.ofSeconds(1);
 
   /**
-   * Nodes whose entries lapsed together write them again spread over this much a node: two writing
-   * calls each, so a hundred a second, which is what the smallest store takes.
+   * When the entries of all nodes have expired, rewriting them is spread over this time per node.
+   * Each takes two write calls, which makes 100 a second, the capacity of the smallest store.
    */
-  private static final Duration ENTRY_SPREAD_A_NODE = Duration.ofMillis(20);
+  private static final Duration ENTRY_REWRITE_SPREAD_PER_NODE = Duration.ofMillis(20);
 
-  /** Bounds how long engines are without a controller after a crash. */
+  /** Bounds the time without a controller after the controller has crashed. */
   private static final Duration CONTROLLER_LIFETIME = Duration.ofMillis(3000);
 
   private static final Duration CONTROLLER_RENEWAL = Duration.ofMillis(1000);
 
   /**
-   * Claims of all nodes are spread over this much a node, so that most nodes have seen the winner
-   * before their own turn; each claim is a call that the store counts.
+   * Claims for the controller role are spread over this time per node, so that most nodes see the
+   * winner before they make a claim; each claim costs a store call.
    */
-  private static final Duration CLAIM_SPREAD_A_NODE = Duration.ofMillis(25);
+  private static final Duration CLAIM_SPREAD_PER_NODE = Duration.ofMillis(25);
 
   /**
-   * A node counts among those that share what all may use for this long after its entry went. In an
-   * outage of the store all entries may lapse at once; without this, each node would take the whole
-   * until the others had written theirs again, seven seconds at 350 nodes.
+   * For this long after its entry was removed, a node still counts among those that share the
+   * fleet-wide limits. In an outage of the store all entries may expire together; without this
+   * period, each node would use the entire limits until the others had rewritten their entries,
+   * which takes seven seconds at 350 nodes.
    */
-  private static final Duration UNLISTED_COUNTS = Duration.ofSeconds(10);
+  private static final Duration UNLISTED_GRACE_PERIOD = Duration.ofSeconds(10);
 
-  private static final String NODES = "nodes/";
+  private static final String NODES_PREFIX = "nodes/";
   private static final char RUN_SEPARATOR = '/';
   private static final char ERA_SEPARATOR = '.';
 
-  /** In a node's entry, between its address and its data centre. */
+  /** Separates the address from the data centre in a node's entry. */
   private static final char FIELD_SEPARATOR = ' ';
 
-  private static final String CONTROLLER = "controller";
+  private static final String CONTROLLER_KEY = "controller";
 
   private final Executor clock;
   private final Random random;
@@ -77,42 +79,45 @@
   private final String run;
   private final String dataCentre;
 
-  /** Names this run in the store; another in each era, so that a copy names it no more. */
+  /**
+   * Name of this run in the store. It changes with each era, so that entries in a restored backup
+   * do not refer to this run.
+   */
   private String node;
 
   private final Supplier<Optional<HostPort>> address;
 
-  /** The live nodes by name, with where each listens for its peers, if it does. */
+  /** The live nodes by key, with their peer address if they accept peer connections. */
   private final Map<String, Optional<Peer>> nodes = new TreeMap<>();
 
-  /** Nodes whose entries went, by box, with when they did. */
+  /** Nodes whose entries were removed, by box. */
   private final Map<String, Unlisted> unlisted = new TreeMap<>();
 
-  /** Made anew after a change only: it is read for each report to a peer. */
+  /** Cached until the next change, because it is read for each report to a peer. */
   private Optional<ImmutableList<Peer>> peers = Optional.empty();
 
-  private record Unlisted(Peer peer, long at) {}
+  private record Unlisted(Peer peer, long removedAt) {}
 
-  private final HeldLease entry;
-  private final HeldLease controller;
-  private final List<Runnable> wonListeners = new ArrayList<>();
+  private final AutoRenewedLease entry;
+  private final AutoRenewedLease controller;
+  private final List<Runnable> controllerListeners = new ArrayList<>();
   private OptionalLong fence = OptionalLong.empty();
   private Optional<StorePosition> entryCreatedAt = Optional.empty();
-  private boolean entryWasThere;
+  private boolean entryExisted;
   private int liveNodes = 1;
 
-  /** Counted before the store was silent: those that may have to write their entries again. */
-  private int nodesBeforeSilence = 1;
+  /** Live nodes before the outage: the number of nodes that may have to rewrite their entries. */
+  private int nodesBeforeOutage = 1;
 
   private boolean controllerPresent;
-  private boolean followed;
+  private boolean loaded;
   private boolean stopped;
 
   private NodeLease(
       Executor clock,
       Random random,
       SharedStore store,
-      SuspensionWatch suspensions,
+      SuspensionDetector suspensions,
       String prefix,
       String run,
       String dataCentre,
@@ -126,7 +131,7 @@
     this.dataCentre = checkNotNull(dataCentre);
     this.address = checkNotNull(address);
     entry =
-        new HeldLease(
+        new AutoRenewedLease(
             clock,
             store,
             suspensions,
@@ -135,31 +140,31 @@
             this::writeEntry,
             cause -> EventLog.warn(Event.LEASE_LOST, "cause", cause, "controller", false));
     controller =
-        new HeldLease(
+        new AutoRenewedLease(
             clock,
             store,
             suspensions,
             CONTROLLER_LIFETIME,
             CONTROLLER_RENEWAL,
             this::writeClaim,
-            this::controllerLost);
+            this::handleControllerLeaseLost);
   }
 
   /**
-   * Returns a lease that is opened by {@link #start}.
+   * Returns leases that are opened by {@link #start}.
    *
-   * @param suspensions after one the leases are renewed at once
-   * @param prefix of all keys of this product
-   * @param box the box's name
-   * @param dataCentre where it stands
-   * @param run this run of the process; no two runs share it
-   * @param address where this node listens for its peers, if it does
+   * @param suspensions after a suspension of the box, the leases are renewed immediately
+   * @param prefix prefix of all keys of this product
+   * @param box name of the box
+   * @param dataCentre data centre of the box
+   * @param run identifies this run of the process; unique among all runs
+   * @param address address on which this node accepts peer connections, if it does
    */
   public static NodeLease create(
       Executor clock,
       Random random,
       SharedStore store,
-      SuspensionWatch suspensions,
+      SuspensionDetector suspensions,
       String prefix,
       String box,
       String dataCentre,
@@ -169,17 +174,17 @@
     return new NodeLease(clock, random, store, suspensions, prefix, node, dataCentre, address);
   }
 
-  /** Calls back each time that this node has become the controller. */
+  /** Adds a listener that runs each time this node becomes the controller. */
   public void onControllerWon(Runnable listener) {
-    wonListeners.add(listener);
+    controllerListeners.add(listener);
   }
 
-  /** Writes the node's entry and keeps it. */
+  /** Writes the node's entry and starts to renew its lease. */
   public void start() {
-    entry.keep();
+    entry.start();
   }
 
-  /** Ends the leases, so that others need not wait for them to lapse. */
+  /** Ends the leases, so that other nodes need not wait for them to expire. */
   public void stop() {
     stopped = true;
     fence = OptionalLong.empty();
@@ -187,12 +192,12 @@
     entry.end();
   }
 
-  /** Returns the number of live nodes, this one included. */
+  /** Returns the number of live nodes, including this one. */
   public int liveNodes() {
     return liveNodes;
   }
 
-  /** Returns the other live nodes that listen for their peers, in a stable order. */
+  /** Returns the other live nodes that accept peer connections, in a stable order. */
   public ImmutableList<Peer> peers() {
     if (peers.isEmpty()) {
       peers = Optional.of(otherPeers());
@@ -210,145 +215,151 @@
   }
 
   /**
-   * Returns the other nodes that may use a part of what all nodes share: the {@link #peers}, and
-   * those whose entries went so lately that they may only have lapsed.
+   * Returns the other nodes that may use a share of the fleet-wide limits: the {@link #peers}, and
+   * those whose entries were removed so recently that they may have expired in an outage.
    */
   public ImmutableList<Peer> sharingPeers() {
-    long oldest = clock.currentTime(NANOSECONDS) - UNLISTED_COUNTS.toNanos();
+    long oldest = clock.currentTime(NANOSECONDS) - UNLISTED_GRACE_PERIOD.toNanos();
     peers().forEach(peer -> unlisted.remove(peer.box()));
     unlisted.remove(boxOf(node));
-    unlisted.values().removeIf(each -> each.at() < oldest);
+    unlisted.values().removeIf(each -> each.removedAt() < oldest);
     return Stream.concat(peers().stream(), unlisted.values().stream().map(Unlisted::peer))
         .collect(ImmutableList.toImmutableList());
   }
 
-  /** Returns how many nodes may use a part of what all nodes share, this one included. */
+  /** Returns how many nodes may use a share of the fleet-wide limits, including this one. */
   public int sharingNodes() {
     long boxes = sharingPeers().stream().map(Peer::box).distinct().count();
     return Math.max(liveNodes, (int) boxes + 1);
   }
 
-  private void noteUnlisted(Peer peer) {
+  private void recordUnlisted(Peer peer) {
     unlisted.put(peer.box(), new Unlisted(peer, clock.currentTime(NANOSECONDS)));
   }
 
   private void countNodes() {
-    // An earlier run of a box's process may be listed until its lease lapses, and this node's entry
-    // may be missing: counted too low, each node would take too much of what all share.
+    // Counts boxes, because an earlier run on a box may be listed until its lease expires. Always
+    // counts this node, even if its entry is missing: with too low a count, each node would use too
+    // large a share of the fleet-wide limits.
     Stream<String> listed = nodes.keySet().stream();
     liveNodes =
         (int)
-            Stream.concat(listed, Stream.of(NODES + node)).map(NodeLease::boxOf).distinct().count();
+            Stream.concat(listed, Stream.of(NODES_PREFIX + node))
+                .map(NodeLease::boxOf)
+                .distinct()
+                .count();
   }
 
   private static String boxOf(String node) {
     return node.substring(0, node.lastIndexOf(RUN_SEPARATOR));
   }
 
-  /** Returns the controller's fence while this node is the controller. */
+  /** Returns the fencing token of the controller's lease while this node is the controller. */
   public OptionalLong controllerFence() {
     return controller.isHeld() ? fence : OptionalLong.empty();
   }
 
   private void writeEntry(long lease) {
-    String value = address.get().map(at -> at.toString() + FIELD_SEPARATOR + dataCentre).orElse("");
+    String value =
+        address.get().map(own -> own.toString() + FIELD_SEPARATOR + dataCentre).orElse("");
     Async.onDone(
-        store.create(prefix + NODES + node, value, lease),
+        store.create(prefix + NODES_PREFIX + node, value, lease),
         clock,
         (created, failure) -> {
           if (!entry.id().equals(OptionalLong.of(lease))) {
             return;
           }
           entryCreatedAt = failure == null ? created : Optional.empty();
-          // No other run has this key: if it exists, an earlier try was done after all. If that was
-          // under a former lease, it goes with that one.
-          entryWasThere = failure == null && created.isEmpty();
+          // No other run uses this key: if it exists, an earlier write of this node took effect. If
+          // that write was under an earlier lease, the key is removed with that lease.
+          entryExisted = failure == null && created.isEmpty();
           if (failure != null) {
-            clock.schedule(() -> writeEntryAgain(lease), ENTRY_RETRY.toNanos(), NANOSECONDS);
+            clock.schedule(() -> rewriteEntry(lease), ENTRY_RETRY_DELAY.toNanos(), NANOSECONDS);
           }
         });
   }
 
-  private void writeEntryAgain(long lease) {
+  private void rewriteEntry(long lease) {
     if (entry.id().equals(OptionalLong.of(lease))) {
       writeEntry(lease);
     }
   }
 
-  private void controllerLost(String cause) {
+  private void handleControllerLeaseLost(String cause) {
     EventLog.warn(Event.LEASE_LOST, "cause", cause, "controller", fence.isPresent());
     fence = OptionalLong.empty();
     controller.release();
-    claimLater();
+    scheduleClaim();
   }
 
-  private void claimLater() {
-    long spread = CLAIM_SPREAD_A_NODE.toNanos() * liveNodes();
+  private void scheduleClaim() {
+    long spread = CLAIM_SPREAD_PER_NODE.toNanos() * liveNodes();
     long wait = (long) (random.nextDouble() * spread);
     clock.schedule(this::claim, wait, NANOSECONDS);
   }
 
   private void claim() {
-    if (followed && !controllerPresent && !stopped) {
-      controller.keep();
+    if (loaded && !controllerPresent && !stopped) {
+      controller.start();
     }
   }
 
   private void writeClaim(long lease) {
     Async.onDone(
-        store.create(prefix + CONTROLLER, node, lease),
+        store.create(prefix + CONTROLLER_KEY, node, lease),
         clock,
         (created, failure) -> {
           if (!controller.id().equals(OptionalLong.of(lease))) {
             return;
           }
           if (failure != null) {
-            // It may have been written all the same; the watch then shows this node's name.
-            clock.schedule(() -> giveUpUnlessWon(lease), CONTROLLER_RENEWAL.toNanos(), NANOSECONDS);
+            // The write may have taken effect; the watch then delivers this node's name.
+            clock.schedule(
+                () -> abandonClaimUnlessWon(lease), CONTROLLER_RENEWAL.toNanos(), NANOSECONDS);
           } else if (created.isPresent()) {
-            won(created.get());
+            becomeController(created.get());
           } else {
             controller.release();
           }
         });
   }
 
-  private void giveUpUnlessWon(long lease) {
+  private void abandonClaimUnlessWon(long lease) {
     if (fence.isEmpty() && controller.id().equals(OptionalLong.of(lease))) {
       controller.end();
-      claimLater();
+      scheduleClaim();
     }
   }
 
-  private void won(StorePosition createdAt) {
+  private void becomeController(StorePosition createdAt) {
     controllerPresent = true;
     boolean wasController = fence.isPresent();
     fence = OptionalLong.of(createdAt.number());
     if (!wasController) {
       EventLog.info(Event.LEASE_WON, "fence", createdAt.number());
-      wonListeners.forEach(Runnable::run);
+      controllerListeners.forEach(Runnable::run);
     }
   }
 
   @Override
-  public void silent(StoreSilence silence) {
-    if (silence.failedCalls() == 1) {
-      nodesBeforeSilence = liveNodes;
+  public void unavailable(StoreOutage outage) {
+    if (outage.failedCalls() == 1) {
+      nodesBeforeOutage = liveNodes;
     }
   }
 
   /**
-   * Drops the leases: in a store that has come back from a copy their ids may be given to others. A
-   * former entry or claim that the copy still has lapses unused.
+   * Abandons the leases: a store that was restored from a backup may assign their ids to other
+   * nodes. An earlier entry or claim that the backup still contains expires unused.
    */
   @Override
   public void newEra(long era) {
-    String cause = "the store came back from an older copy";
+    String cause = "the store was restored from a backup";
     node = run + ERA_SEPARATOR + era;
     entryCreatedAt = Optional.empty();
-    entryWasThere = false;
-    nodesBeforeSilence = liveNodes;
-    entry.over(cause, entrySpread());
+    entryExisted = false;
+    nodesBeforeOutage = liveNodes;
+    entry.markLost(cause, randomRewriteDelay());
     if (controller.id().isPresent() || fence.isPresent()) {
       EventLog.warn(Event.LEASE_LOST, "cause", cause, "controller", fence.isPresent());
     }
@@ -358,81 +369,81 @@
 
   @Override
   public void replace(ImmutableList<StoredItem> items) {
-    followed = true;
-    nodes.values().forEach(peer -> peer.ifPresent(this::noteUnlisted));
+    loaded = true;
+    nodes.values().forEach(peer -> peer.ifPresent(this::recordUnlisted));
     nodes.clear();
     peers = Optional.empty();
     controllerPresent = false;
-    items.forEach(item -> take(item, false));
+    items.forEach(item -> apply(item, false));
     countNodes();
     if (!controllerPresent) {
-      claimLater();
+      scheduleClaim();
     }
   }
 
   @Override
   public void change(StoreChanges.Change change) {
-    take(change.item(), change.removed());
+    apply(change.item(), change.removed());
     countNodes();
   }
 
-  private void take(StoredItem item, boolean removed) {
+  private void apply(StoredItem item, boolean removed) {
     String name = item.key().substring(prefix.length());
-    if (name.startsWith(NODES)) {
+    if (name.startsWith(NODES_PREFIX)) {
       peers = Optional.empty();
       if (removed) {
-        nodes.getOrDefault(name, Optional.empty()).ifPresent(this::noteUnlisted);
+        nodes.getOrDefault(name, Optional.empty()).ifPresent(this::recordUnlisted);
         nodes.remove(name);
-        takeOwnRemoval(name, item.changedAt());
+        handleOwnEntryRemoval(name, item.changedAt());
       } else {
-        nodes.put(name, peerIn(item));
+        nodes.put(name, parsePeer(item));
       }
-    } else if (name.equals(CONTROLLER)) {
-      takeController(item, removed);
+    } else if (name.equals(CONTROLLER_KEY)) {
+      handleControllerChange(item, removed);
     }
   }
 
-  /** An entry that lapsed while this node was cut off need not wait for the next renewal. */
-  private void takeOwnRemoval(String name, StorePosition removedAt) {
-    boolean own = name.equals(NODES + node);
+  /** Reopens the entry without waiting for the next renewal if it expired during a partition. */
+  private void handleOwnEntryRemoval(String name, StorePosition removedAt) {
+    boolean own = name.equals(NODES_PREFIX + node);
     boolean removedSince = entryCreatedAt.isPresent() && removedAt.isAfter(entryCreatedAt.get());
-    if (own && (entryWasThere || removedSince)) {
-      entryWasThere = false;
-      entry.over("this node's entry lapsed", entrySpread());
+    if (own && (entryExisted || removedSince)) {
+      entryExisted = false;
+      entry.markLost("this node's entry expired", randomRewriteDelay());
     }
   }
 
-  private Duration entrySpread() {
-    long spread = ENTRY_SPREAD_A_NODE.toNanos() * nodesBeforeSilence;
+  private Duration randomRewriteDelay() {
+    long spread = ENTRY_REWRITE_SPREAD_PER_NODE.toNanos() * nodesBeforeOutage;
     return Duration.ofNanos((long) (random.nextDouble() * spread));
   }
 
-  private Optional<Peer> peerIn(StoredItem entry) {
+  private Optional<Peer> parsePeer(StoredItem entry) {
     if (entry.value().isEmpty()) {
       return Optional.empty();
     }
-    String box = boxOf(entry.key().substring(prefix.length() + NODES.length()));
+    String box = boxOf(entry.key().substring(prefix.length() + NODES_PREFIX.length()));
     List<String> parts = Splitter.on(FIELD_SEPARATOR).limit(2).splitToList(entry.value());
     try {
-      HostPort listens = HostPort.parse(parts.get(0));
-      return Optional.of(new Peer(box, parts.size() > 1 ? parts.get(1) : "", listens));
+      HostPort listenAddress = HostPort.parse(parts.get(0));
+      return Optional.of(new Peer(box, parts.size() > 1 ? parts.get(1) : "", listenAddress));
     } catch (IllegalArgumentException e) {
       EventLog.warn(Event.PEER_ADDRESS_NOT_READ, "entry", entry.key(), "cause", e.getMessage());
       return Optional.empty();
     }
   }
 
-  private void takeController(StoredItem item, boolean removed) {
+  private void handleControllerChange(StoredItem item, boolean removed) {
     if (fence.isPresent() && item.changedAt().number() < fence.getAsLong()) {
-      return; // It tells of an earlier controller.
+      return; // The change concerns an earlier controller.
     }
     controllerPresent = !removed;
     if (removed) {
       fence = OptionalLong.empty();
       controller.release();
-      claimLater();
+      scheduleClaim();
     } else if (item.value().equals(node) && controller.id().isPresent()) {
-      won(item.createdAt());
+      becomeController(item.createdAt());
     } else {
       fence = OptionalLong.empty();
       controller.release();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/Peer.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/Peer.java
@@ -5,21 +5,22 @@
 import org.vaneworks.state.HostPort;
 
 /**
- * Another live node that listens for its peers.
+ * Another live node that accepts connections from its peers.
  *
- * @param box its box
- * @param dataCentre where the box stands; empty if it did not tell
- * @param address where it listens
+ * @param box name of the box that it runs on
+ * @param dataCentre data centre of the box; empty if the node did not publish it
+ * @param address address on which it accepts peer connections
  */
 public record Peer(String box, String dataCentre, HostPort address) {
-  /** Checks that all parts are given. */
+  /** Checks that no component is null. */
   public Peer {
     checkNotNull(box);
     checkNotNull(dataCentre);
     checkNotNull(address);
   }
 
-  // Written out: generated ones are linked by method handles, whose classes each start makes anew.
+  // Written by hand: the generated methods are linked through method handles, whose classes are
+  // spun again at each start.
 
   @Override
   public boolean equals(Object other) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/PrefixFollower.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/PrefixFollower.java
@@ -18,38 +18,39 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * Keeps a listener up to date with all items under a prefix.
+ * Keeps a listener up to date with all items under a key prefix.
  *
- * <p>One whole read, then watches from its position; a whole read again when the store has
- * forgotten what changed. {@link #confirmedAt} is the age of the view: the time at which the newest
- * answered call was asked, never that of its answer. Confined to the node's event loop.
+ * <p>Reads all items once, then watches for changes from the position of that read. If the store no
+ * longer has the history since that position, all items are read again. {@link #confirmedAt} tells
+ * the age of the view: it is the time at which the newest successful call was sent, not the time of
+ * its response. Confined to the node's event loop.
  */
 public final class PrefixFollower {
-  private static final Duration FIRST_BACK_OFF = Duration.ofMillis(50);
+  private static final Duration INITIAL_BACKOFF = Duration.ofMillis(50);
 
-  /** After a failure the view is confirmed first, before a watch waits for changes again. */
-  private static final Duration NO_WAIT = Duration.ofMillis(1);
+  /** After a failure the next watch returns immediately, so that the view is confirmed first. */
+  private static final Duration IMMEDIATE_WAIT = Duration.ofMillis(1);
 
-  private static final Duration LONGEST_BACK_OFF = Duration.ofMillis(500);
+  private static final Duration MAX_BACKOFF = Duration.ofMillis(500);
 
-  /** Is told what a follower sees. */
+  /** Receives the items under the prefix and their changes. */
   public interface Listener {
-    /** Takes everything that there is. */
+    /** Replaces all items. */
     void replace(ImmutableList<StoredItem> items);
 
-    /** Takes one change; of several changes of a key in one answer only the last is handed over. */
+    /** Applies one change; of several changes of a key in one response, only the last is passed. */
     void change(StoreChanges.Change change);
 
-    /** Takes note that the store is silent; called at each failed call. */
-    default void silent(StoreSilence silence) {}
+    /** Called after each failed call, except when the store has lost its history. */
+    default void unavailable(StoreOutage outage) {}
 
     /**
-     * Takes note that the store has come back from an older copy, with leases of then; a whole read
-     * follows.
+     * Called when the store was restored from a backup, including the leases in that backup. A call
+     * of {@link #replace} follows.
      */
     default void newEra(long era) {}
 
-    /** Takes note that everything up to an answered call has been handed over. */
+    /** Called after all changes in the response to a successful call have been applied. */
     default void upToDate() {}
   }
 
@@ -58,22 +59,22 @@
   private final SharedStore store;
   private final Counters counters;
   private final String prefix;
-  private final Supplier<Duration> wait;
+  private final Supplier<Duration> watchWait;
   private final Supplier<Duration> pause;
   private final Listener listener;
-  private final SuspensionWatch suspensions;
+  private final SuspensionDetector suspensions;
   private Optional<StorePosition> position = Optional.empty();
   private OptionalLong newEraSince = OptionalLong.empty();
   private long confirmedAt = Long.MIN_VALUE / 2;
   private long startedAt;
-  private Duration backOff = FIRST_BACK_OFF;
-  private Optional<StoreSilence> silence = Optional.empty();
+  private Duration backoff = INITIAL_BACKOFF;
+  private Optional<StoreOutage> outage = Optional.empty();
   private boolean started;
   private boolean stopped;
-  private boolean confirmAtOnce;
+  private boolean confirmImmediately;
 
-  /** Calls begun; the answer to all but the last is ignored. */
-  private int asks;
+  /** Number of calls started; only the response to the latest is used. */
+  private int pollCount;
 
   private PrefixFollower(
       Executor clock,
@@ -81,29 +82,31 @@
       SharedStore store,
       Counters counters,
       String prefix,
-      Supplier<Duration> wait,
+      Supplier<Duration> watchWait,
       Supplier<Duration> pause,
       Listener listener,
-      SuspensionWatch suspensions) {
+      SuspensionDetector suspensions) {
     this.clock = checkNotNull(clock);
     this.random = checkNotNull(random);
     this.store = checkNotNull(store);
     this.counters = checkNotNull(counters);
     this.prefix = checkNotNull(prefix);
-    this.wait = checkNotNull(wait);
+    this.watchWait = checkNotNull(watchWait);
     this.pause = checkNotNull(pause);
     this.listener = checkNotNull(listener);
     this.suspensions = checkNotNull(suspensions);
-    suspensions.onWake(this::askAnew);
+    suspensions.onWake(this::pollImmediately);
     store.onNewEra(this::newEra);
   }
 
   /**
-   * Returns a follower that asks nothing before {@link #start}.
+   * Returns a follower that makes no calls before {@link #start}.
    *
-   * @param wait how long the next watch waits; bounds the age of the view while the store answers
-   * @param pause between an answer and the next call, so that changes that come together cost one
-   * @param suspensions after one the view is confirmed at once
+   * @param watchWait how long the next watch waits for changes; bounds the age of the view while
+   *     the store is available
+   * @param pause time between a response and the next call, so that changes made shortly after one
+   *     another are read in one call
+   * @param suspensions after a suspension of the box, the view is confirmed immediately
    */
   public static PrefixFollower create(
       Executor clock,
@@ -111,32 +114,32 @@
       SharedStore store,
       Counters counters,
       String prefix,
-      Supplier<Duration> wait,
+      Supplier<Duration> watchWait,
       Supplier<Duration> pause,
       Listener listener,
-      SuspensionWatch suspensions) {
+      SuspensionDetector suspensions) {
     return new PrefixFollower(
-        clock, random, store, counters, prefix, wait, pause, listener, suspensions);
+        clock, random, store, counters, prefix, watchWait, pause, listener, suspensions);
   }
 
-  /** Begins to follow. */
+  /** Starts to follow the prefix. */
   public void start() {
     startedAt = clock.currentTime(NANOSECONDS);
     started = true;
-    ask();
+    poll();
   }
 
-  /** Asks nothing more. */
+  /** Stops following; no further calls are made. */
   public void stop() {
     stopped = true;
   }
 
-  /** Returns when the newest answered call was asked, on the clock. */
+  /** Returns when the newest successful call was sent, in nanoseconds on the executor's clock. */
   public long confirmedAt() {
     return confirmedAt;
   }
 
-  /** Returns whether the view was confirmed by a call that was asked within that time. */
+  /** Returns whether the newest successful call was sent less than {@code age} ago. */
   public boolean isConfirmedWithin(Duration age) {
     long awakeSince = suspensions.awakeSince();
     long now = clock.currentTime(NANOSECONDS);
@@ -144,60 +147,60 @@
   }
 
   /**
-   * Reads all anew: the store gives out numbers again that were seen already, so that changes since
-   * would not be told.
+   * Reads all items again. After a restore the store reuses revisions that this node has already
+   * seen, so a watch from the old position would miss changes.
    */
   private void newEra(long era) {
     position = Optional.empty();
     newEraSince = OptionalLong.of(clock.currentTime(NANOSECONDS));
     listener.newEra(era);
-    askAnew();
+    pollImmediately();
   }
 
-  /** Asks without a wait; the answer to what was asked before is not waited for any more. */
-  private void askAnew() {
+  /** Makes a call that does not wait for changes; the response to any pending call is ignored. */
+  private void pollImmediately() {
     if (!stopped && started) {
-      confirmAtOnce = true;
-      ask();
+      confirmImmediately = true;
+      poll();
     }
   }
 
-  private void askLater(long nanos) {
-    int after = asks;
+  private void schedulePoll(long nanos) {
+    int scheduledAfter = pollCount;
     clock.schedule(
         () -> {
-          if (asks == after) {
-            ask();
+          if (pollCount == scheduledAfter) {
+            poll();
           }
         },
         nanos,
         NANOSECONDS);
   }
 
-  private void ask() {
+  private void poll() {
     if (stopped) {
       return;
     }
-    int ask = ++asks;
-    // Before the time is read: what is asked after a suspension has to count as such.
+    int pollNumber = ++pollCount;
+    // Detects a suspension before the time is read, so that this call counts as made after it.
     suspensions.awakeSince();
-    long askedAt = clock.currentTime(NANOSECONDS);
+    long requestedAt = clock.currentTime(NANOSECONDS);
     if (position.isEmpty()) {
       Async.onDone(
           store.list(prefix),
           clock,
           (view, failure) -> {
-            if (ask != asks) {
+            if (pollNumber != pollCount) {
               return;
             }
             if (failure != null) {
-              retry(askedAt, failure);
+              handleFailure(requestedAt, failure);
             } else {
               position = Optional.of(view.position());
               listener.replace(view.items());
-              newEraSince.ifPresent(since -> tellReadAnew(since, view));
+              newEraSince.ifPresent(since -> logReread(since, view));
               newEraSince = OptionalLong.empty();
-              answered(askedAt, "whole");
+              handleSuccess(requestedAt, "whole");
             }
           });
       return;
@@ -206,20 +209,20 @@
         store.watch(prefix, position.get(), nextWait()),
         clock,
         (changes, failure) -> {
-          if (ask != asks) {
+          if (pollNumber != pollCount) {
             return;
           }
           if (failure != null) {
-            retry(askedAt, failure);
+            handleFailure(requestedAt, failure);
           } else {
-            position = Optional.of(later(position.get(), changes.position()));
-            changes.newestOfEachKey().forEach(listener::change);
-            answered(askedAt, changes.changes().size() + " changes");
+            position = Optional.of(max(position.get(), changes.position()));
+            changes.latestPerKey().forEach(listener::change);
+            handleSuccess(requestedAt, changes.changes().size() + " changes");
           }
         });
   }
 
-  private void tellReadAnew(long since, StoreView view) {
+  private void logReread(long since, StoreSnapshot view) {
     EventLog.info(
         Event.STORE_READ_ANEW,
         "prefix",
@@ -232,69 +235,69 @@
         NANOSECONDS.toMillis(clock.currentTime(NANOSECONDS) - since));
   }
 
-  private static StorePosition later(StorePosition one, StorePosition other) {
-    return other.isAfter(one) ? other : one;
+  private static StorePosition max(StorePosition a, StorePosition b) {
+    return b.isAfter(a) ? b : a;
   }
 
   private Duration nextWait() {
-    return silence.isPresent() || confirmAtOnce ? NO_WAIT : wait.get();
+    return outage.isPresent() || confirmImmediately ? IMMEDIATE_WAIT : watchWait.get();
   }
 
-  private void answered(long askedAt, String read) {
+  private void handleSuccess(long requestedAt, String read) {
     if (stopped) {
       return;
     }
     listener.upToDate();
-    silence.ifPresent(over -> tellRecovery(over, askedAt, read));
-    silence = Optional.empty();
-    confirmedAt = Math.max(confirmedAt, askedAt);
-    backOff = FIRST_BACK_OFF;
-    confirmAtOnce = false;
-    askLater(pause.get().toNanos());
+    outage.ifPresent(ended -> logRecovery(ended, requestedAt, read));
+    outage = Optional.empty();
+    confirmedAt = Math.max(confirmedAt, requestedAt);
+    backoff = INITIAL_BACKOFF;
+    confirmImmediately = false;
+    schedulePoll(pause.get().toNanos());
   }
 
-  private void tellRecovery(StoreSilence over, long askedAt, String read) {
+  private void logRecovery(StoreOutage ended, long requestedAt, String read) {
     EventLog.info(
         Event.STORE_RECOVERED,
         "prefix",
         prefix,
         "silentMs",
-        NANOSECONDS.toMillis(askedAt - over.lastAnswerAskedAt()),
+        NANOSECONDS.toMillis(requestedAt - ended.lastConfirmedAt()),
         "failedCalls",
-        over.failedCalls(),
+        ended.failedCalls(),
         "lastCallBegunMsAgo",
-        NANOSECONDS.toMillis(clock.currentTime(NANOSECONDS) - over.lastCallBegunAt()),
+        NANOSECONDS.toMillis(clock.currentTime(NANOSECONDS) - ended.lastCallStartedAt()),
         "lastCause",
-        over.lastCause(),
+        ended.lastCause(),
         "read",
         read);
   }
 
-  private void retry(long askedAt, Throwable failure) {
-    noteFailure(askedAt, failure);
-    if (historyLost(failure)) {
+  private void handleFailure(long requestedAt, Throwable failure) {
+    recordFailure(requestedAt, failure);
+    if (isHistoryLost(failure)) {
       position = Optional.empty();
-      backOff = FIRST_BACK_OFF; // The store did answer.
+      backoff = INITIAL_BACKOFF; // The store is available.
     } else {
-      silence.ifPresent(listener::silent);
+      outage.ifPresent(listener::unavailable);
     }
-    long jittered = (long) (backOff.toNanos() * (0.5 + random.nextDouble()));
-    Duration doubled = backOff.multipliedBy(2);
-    backOff = doubled.compareTo(LONGEST_BACK_OFF) > 0 ? LONGEST_BACK_OFF : doubled;
-    askLater(jittered);
+    long jittered = (long) (backoff.toNanos() * (0.5 + random.nextDouble()));
+    Duration doubled = backoff.multipliedBy(2);
+    backoff = doubled.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : doubled;
+    schedulePoll(jittered);
   }
 
-  private void noteFailure(long askedAt, Throwable failure) {
+  private void recordFailure(long requestedAt, Throwable failure) {
     counters.count(Metric.STORE_FAILURES, prefix);
-    if (silence.isEmpty()) {
+    if (outage.isEmpty()) {
       EventLog.warn(Event.STORE_FAILED, "prefix", prefix, "cause", failure.getMessage());
     }
-    StoreSilence before =
-        silence.orElseGet(() -> StoreSilence.since(Math.max(confirmedAt, startedAt), position));
-    silence = Optional.of(before.and(askedAt, String.valueOf(failure.getMessage())));
+    StoreOutage before =
+        outage.orElseGet(() -> StoreOutage.since(Math.max(confirmedAt, startedAt), position));
+    outage = Optional.of(before.withFailure(requestedAt, String.valueOf(failure.getMessage())));
   }
 
-  private static boolean historyLost(Throwable failure) {
+  private static boolean isHistoryLost(Throwable failure) {
     return failure instanceof SharedStoreException lost
         && lost.kind() == SharedStoreException.Kind.HISTORY_LOST;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/PrefixRouter.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/PrefixRouter.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 
 /**
- * Hands what one follower sees to listeners by the prefix of the key.
+ * Dispatches the items and changes of one follower to several listeners by key prefix.
  *
- * <p>One watch over all keys costs the store a third of the calls of three, and its answers confirm
- * all three views at once.
+ * <p>A single watch over all keys costs the store a third of the calls of three separate watches,
+ * and each response confirms all three views together.
  */
 public final class PrefixRouter implements PrefixFollower.Listener {
   private final ImmutableMap<String, PrefixFollower.Listener> listeners;
@@ -17,7 +17,7 @@
     this.listeners = listeners;
   }
 
-  /** Returns a router; no prefix may begin another. */
+  /** Returns a router with one listener per prefix; no prefix may be a prefix of another. */
   public static PrefixRouter of(Map<String, PrefixFollower.Listener> listeners) {
     return new PrefixRouter(ImmutableMap.copyOf(listeners));
   }
@@ -43,8 +43,8 @@
   }
 
   @Override
-  public void silent(StoreSilence silence) {
-    listeners.values().forEach(listener -> listener.silent(silence));
+  public void unavailable(StoreOutage outage) {
+    listeners.values().forEach(listener -> listener.unavailable(outage));
   }
 
   @Override
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/SharedStoreException.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/SharedStoreException.java
@@ -1,18 +1,18 @@
 package org.vaneworks.coordination.shared;
 
-/** A call to the store failed. */
+/** Thrown when a call to the store fails. */
 public final class SharedStoreException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** What is known of the call. */
+  /** What is known about the effect of the failed call. */
   public enum Kind {
-    /** The store did nothing. */
+    /** The call had no effect. */
     WITHOUT_EFFECT,
-    /** The store may have done it, or may do it later. */
+    /** The call may have taken effect, or may still take effect later. */
     UNKNOWN_EFFECT,
-    /** The store no longer knows what changed since the given revision. */
+    /** The store no longer has the history since the given revision. */
     HISTORY_LOST,
-    /** The lease that the call names is over. */
+    /** The lease given in the call has ended. */
     LEASE_OVER
   }
 
@@ -23,12 +23,12 @@
     this.kind = kind;
   }
 
-  /** Returns a failure. */
+  /** Returns an exception of the given kind. */
   public static SharedStoreException of(Kind kind, String message) {
     return new SharedStoreException(kind, message);
   }
 
-  /** Returns what is known of the call. */
+  /** Returns what is known about the effect of the call. */
   public Kind kind() {
     return kind;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/StoreChanges.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/StoreChanges.java
@@ -6,35 +6,35 @@
 import org.vaneworks.state.StorePosition;
 
 /**
- * What has changed under a prefix.
+ * Changes of the items under a prefix.
  *
- * @param changes in the order in which they were made
- * @param position from which to go on
+ * @param changes the changes, in the order in which they were made
+ * @param position position from which the next watch continues
  */
 public record StoreChanges(ImmutableList<Change> changes, StorePosition position) {
   /**
-   * One change.
+   * The change of one item.
    *
-   * @param item the item; its value is empty if it was removed
-   * @param removed whether the key is gone
+   * @param item the changed item; its value is empty if it was removed
+   * @param removed whether the item was removed
    */
   public record Change(StoredItem item, boolean removed) {}
 
   /**
-   * Returns the last change of each key, in the order in which they were made.
+   * Returns the latest change of each key, in the order in which the changes were made.
    *
-   * <p>What an earlier one said is over. Operators may change one large value several times while a
-   * node waits to ask again: 1,400 routes take 20 to 30 ms of a whole core to read, once or five
-   * times.
+   * <p>Earlier changes of a key are obsolete and need not be parsed. Operators may change one large
+   * value several times between two calls of a node, and parsing 1,400 routes takes 20 to 30 ms of
+   * a whole core each time.
    */
-  ImmutableList<Change> newestOfEachKey() {
+  ImmutableList<Change> latestPerKey() {
     Set<String> seen = new HashSet<>();
-    ImmutableList.Builder<Change> newestFirst = ImmutableList.builder();
+    ImmutableList.Builder<Change> latestFirst = ImmutableList.builder();
     for (Change change : changes.reverse()) {
       if (seen.add(change.item().key())) {
-        newestFirst.add(change);
+        latestFirst.add(change);
       }
     }
-    return newestFirst.build().reverse();
+    return latestFirst.build().reverse();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/transport/PeerClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/PeerClient.java
@@ -62,7 +62,7 @@
         connections.compute(
             peer, (address, known) -> known == null || known.isClosed() ? open(address) : known);
     PeerException late = PeerException.unanswered(peer + " did not reply in " + limit);
-    return Async.within(executor, limit, connection.ask(request), late);
+    return Async.withTimeout(executor, limit, connection.ask(request), late);
   }
 
   private Connection open(HostPort peer) {
