--- a/vaneworks/src/main/java/org/vaneworks/coordination/boxes/Box.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/boxes/Box.java
@@ -8,11 +8,11 @@
 /**
  * A box in the platform's list.
  *
- * @param name its name
- * @param role what runs on it
- * @param address where that listens: peers' address of an entry box, else the endpoint's
- * @param dataCentre where it stands
- * @param leaving whether it is about to go
+ * @param name name of the box
+ * @param role what runs on the box
+ * @param address the peer address of an entry node, or the address of an endpoint
+ * @param dataCentre data centre of the box
+ * @param leaving whether the box is about to be removed
  */
 public record Box(String name, Role role, HostPort address, String dataCentre, boolean leaving) {
   /** What runs on a box. */
@@ -21,9 +21,9 @@
     ENDPOINT
   }
 
-  /** Checks that every part is given. */
+  /** Checks that the name is not empty and no component is null. */
   public Box {
-    checkArgument(!name.isEmpty(), "a box must be named");
+    checkArgument(!name.isEmpty(), "box name must not be empty");
     checkNotNull(role);
     checkNotNull(address);
     checkNotNull(dataCentre);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/boxes/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/boxes/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The platform's list of boxes, which lags.
+ * The platform's list of boxes, which may be out of date.
  *
- * <p>Asked by membership, for peers to begin with, and by the endpoints' monitor. Values and one
- * interface to the outside; decides nothing.
+ * <p>Membership takes its seed addresses from the list, and the endpoint monitor its endpoints.
+ * This package contains only value types and the interface of the client.
  */
 package org.vaneworks.coordination.boxes;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/concurrent/Async.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/concurrent/Async.java
@@ -9,11 +9,15 @@
 import java.util.function.BiConsumer;
 import java.util.function.BiFunction;
 
-/** Helpers on futures that run their continuations on the node's worker pool. */
+/** Static utility methods for futures. */
 public final class Async {
   private Async() {}
 
-  /** Runs the consumer on the executor once the future is done, either way. */
+  /**
+   * Runs the consumer on the executor when the future completes.
+   *
+   * @param consumer receives the value and null, or null and the unwrapped failure
+   */
   public static <T> void onDone(
       CompletionStage<T> future, Executor executor, BiConsumer<? super T, Throwable> consumer) {
     CompletionStage<T> unused =
@@ -23,20 +27,25 @@
                     () -> consumer.accept(value, failure == null ? null : causeOf(failure))));
   }
 
-  /** Lets go of a future whose outcome changes nothing. */
+  /** Marks the outcome of a future as deliberately ignored. */
   @CanIgnoreReturnValue
   public static <T> CompletionStage<T> ignore(CompletionStage<T> future) {
     return future.exceptionally(ignored -> null);
   }
 
-  /** Returns a future that is done after the delay. */
+  /** Returns a future that completes after the delay. */
   public static CompletableFuture<Void> delay(Executor executor, Duration delay) {
     CompletableFuture<Void> done = new CompletableFuture<>();
     executor.schedule(() -> done.complete(null), delay);
     return done;
   }
 
-  /** Returns a copy of the future that fails with the given failure if it takes too long. */
+  /**
+   * Returns a future that completes like the given one, or fails if that takes longer than the
+   * limit.
+   *
+   * @param late the failure after the limit
+   */
   public static <T> CompletableFuture<T> withTimeout(
       Executor executor, Duration limit, CompletableFuture<T> future, RuntimeException late) {
     CompletableFuture<T> bounded = new CompletableFuture<>();
@@ -55,8 +64,12 @@
     return bounded;
   }
 
-  /** Goes on with another future once this one is done, either way; failures come unwrapped. */
-  @SuppressWarnings("FutureReturnValueIgnored") // The nested future is flattened at once.
+  /**
+   * Continues with another future when the given one completes, successfully or not.
+   *
+   * @param next receives the value and null, or null and the unwrapped failure
+   */
+  @SuppressWarnings("FutureReturnValueIgnored") // The nested future is flattened immediately.
   public static <T, R> CompletableFuture<R> compose(
       CompletableFuture<T> future, BiFunction<T, Throwable, CompletableFuture<R>> next) {
     CompletableFuture<CompletableFuture<R>> nested =
@@ -65,7 +78,7 @@
     return nested.thenCompose(outcome -> outcome);
   }
 
-  /** Returns the failure that a completion exception wraps. */
+  /** Unwraps completion exceptions; returns the underlying failure. */
   public static Throwable causeOf(Throwable failure) {
     Throwable cause = failure;
     while (cause instanceof CompletionException && cause.getCause() != null) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/concurrent/EventLoopDelay.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/concurrent/EventLoopDelay.java
@@ -3,34 +3,34 @@
 import java.time.Duration;
 
 /**
- * Tells whether a silence may be this node's own delay.
+ * Determines whether a missing response may be due to a delay of this node's own event loop.
  *
- * <p>An event loop that is held up while it reads its sockets next runs the timers that came due
- * meanwhile, and only then reads what arrived meanwhile. What a timer finds that is late is
- * therefore no evidence against anybody else.
+ * <p>An event loop that is delayed while it processes sockets first runs the timers that became due
+ * during the delay, and only then reads the data that arrived during it. A timeout found by a late
+ * timer is therefore no evidence that the remote side is silent.
  */
 public final class EventLoopDelay {
   /**
-   * After a late timer the loop reads its sockets within this time; what it finds then counts as
-   * that of a punctual one.
+   * Time within which the event loop reads its sockets after a late timer. A check repeated after
+   * this time is as reliable as one by a punctual timer.
    */
   public static final Duration SOCKET_READ_GRACE = Duration.ofMillis(5);
 
-  /** Timers are late by less than this while a loop has ordinary work. */
-  private static final Duration TOLERANCE = Duration.ofMillis(20);
+  /** Timers are late by less than this under normal load. */
+  private static final Duration TIMER_TOLERANCE = Duration.ofMillis(20);
 
-  /** A node that is late each time has to find the dead as well. */
-  private static final int MOST_UNCOUNTED = 2;
+  /** Bounded, so that a node whose timers are always late still detects failures. */
+  private static final int MAX_DISCOUNTED = 2;
 
   private EventLoopDelay() {}
 
   /**
-   * Returns whether a silence is not to be counted, as the timer that found it was late.
+   * Returns whether a timeout should be discounted because the timer that found it was late.
    *
-   * @param late from when the timer was due until now
-   * @param uncounted silences of the same kind just before that were not counted
+   * @param lateness time since the timer was due
+   * @param discounted number of consecutive earlier timeouts of the same kind that were discounted
    */
-  public static boolean explainsSilence(Duration late, int uncounted) {
-    return late.compareTo(TOLERANCE) > 0 && uncounted < MOST_UNCOUNTED;
+  public static boolean explainsSilence(Duration lateness, int discounted) {
+    return lateness.compareTo(TIMER_TOLERANCE) > 0 && discounted < MAX_DISCOUNTED;
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/concurrent/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/concurrent/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Helpers on futures that run on a node's executor and clock. Decide nothing; used by all of {@code
- * coordination}.
- */
+/** Utilities for futures and event loops, used throughout {@code coordination}. */
 package org.vaneworks.coordination.concurrent;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ActiveConfiguration.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ActiveConfiguration.java
@@ -27,10 +27,10 @@
 import org.vaneworks.telemetry.EventLog;
 
 /**
- * The configuration in force on this node; it only ever moves to a higher version.
+ * The configuration in force on this node; its version only ever increases.
  *
- * <p>Heads are offered by whoever hears of one: the store's watch, the slow poll, a peer. Thread-
- * safe; the lock is held for the exchange of references only, not while pages are fetched.
+ * <p>New heads are offered by the store's watch, by polling, and by peers. Thread-safe. The lock is
+ * held only while references are replaced, not while pages are fetched.
  */
 public final class ActiveConfiguration {
   private final ConfigurationFormat format;
@@ -47,9 +47,9 @@
   @GuardedBy("this")
   private Map<String, String> pages = new HashMap<>();
 
-  /** Pages in force, read: a change replaces one page, so the others needn't be read again. */
+  /** Decoded pages in force, kept because a change usually replaces only one page. */
   @GuardedBy("this")
-  private Map<String, ConfigurationPage> readPages = new HashMap<>();
+  private Map<String, ConfigurationPage> decodedPages = new HashMap<>();
 
   private volatile ConfigurationSnapshot snapshot = ConfigurationSnapshot.empty();
   private volatile boolean loaded;
@@ -61,16 +61,16 @@
   }
 
   /**
-   * Returns a board with nothing in force.
+   * Returns an instance without a configuration in force.
    *
-   * @param store where pages are read that the offering side doesn't have
+   * @param store source of pages that the offering side does not have
    */
   public static ActiveConfiguration create(
       Executor executor, ConfigurationFormat format, PageSource store) {
     return new ActiveConfiguration(executor, format, store);
   }
 
-  /** Adds a listener that is told of each newer configuration. */
+  /** Adds a listener that receives each newer configuration. */
   public void onChange(Consumer<ConfigurationSnapshot> listener) {
     listeners.add(checkNotNull(listener));
   }
@@ -80,7 +80,7 @@
     return snapshot;
   }
 
-  /** Returns whether any head was read, if only the empty one. */
+  /** Returns whether a configuration has been loaded, including the empty one. */
   public boolean isLoaded() {
     return loaded;
   }
@@ -90,28 +90,30 @@
     return snapshot.version();
   }
 
-  /** Returns the text of the head in force; empty if none. */
+  /** Returns the encoded head in force; empty if there is none. */
   public synchronized String headText() {
     return headText;
   }
 
-  /** Returns the texts of those of the pages that are in force here, by hash. */
+  /** Returns the texts of the given pages that are in force, by hash. */
   public synchronized ImmutableMap<String, String> pages(Set<String> hashes) {
     return ImmutableMap.copyOf(Maps.filterKeys(pages, hashes::contains));
   }
 
-  /** Takes note that the store holds no head yet: the empty configuration is in force. */
+  /** Records that the store has no head yet, so that the empty configuration is in force. */
   public void offerEmpty() {
     loaded = true;
   }
 
   /**
-   * Brings a head in force if it is newer.
+   * Puts a head into force if it is newer than the current one.
    *
-   * @param near asked first for missing pages
-   * @return done once the head, or a newer one, is in force; fails if pages could not be had
+   * @param text the encoded head
+   * @param preferredSource preferred source of missing pages
+   * @return completes when this head, or a newer one, is in force; fails if the head cannot be
+   *     decoded or its pages cannot be fetched
    */
-  public CompletableFuture<Void> offer(String text, PageSource near) {
+  public CompletableFuture<Void> offer(String text, PageSource preferredSource) {
     ConfigurationHead offered;
     try {
       offered = format.decodeHead(text);
@@ -119,18 +121,18 @@
       EventLog.warn(Event.CONFIGURATION_UNREADABLE, "cause", e.getMessage());
       return CompletableFuture.failedFuture(e);
     }
-    if (isOld(offered)) {
+    if (isStale(offered)) {
       return CompletableFuture.completedFuture(null);
     }
-    Set<String> wanted = new HashSet<>(offered.pages().values());
-    Map<String, String> have = new HashMap<>(pages(wanted));
-    return fetchMissing(near, wanted, have)
+    Set<String> required = new HashSet<>(offered.pages().values());
+    Map<String, String> available = new HashMap<>(pages(required));
+    return fetchMissing(preferredSource, required, available)
         .exceptionally(ignored -> null)
-        .thenCompose(done -> fetchMissing(store, wanted, have))
-        .thenAcceptAsync(done -> enforce(offered, text, have), executor::execute);
+        .thenCompose(done -> fetchMissing(store, required, available))
+        .thenAcceptAsync(done -> activate(offered, text, available), executor::execute);
   }
 
-  private boolean isOld(ConfigurationHead offered) {
+  private boolean isStale(ConfigurationHead offered) {
     if (loaded && offered.version() < version()) {
       EventLog.info(
           Event.CONFIGURATION_STALE_IGNORED, "offered", offered.version(), "version", version());
@@ -139,26 +141,26 @@
   }
 
   private CompletableFuture<Void> fetchMissing(
-      PageSource source, Set<String> wanted, Map<String, String> have) {
-    Set<String> missing = Set.copyOf(Sets.difference(wanted, have.keySet()));
+      PageSource source, Set<String> required, Map<String, String> available) {
+    Set<String> missing = Set.copyOf(Sets.difference(required, available.keySet()));
     if (missing.isEmpty()) {
       return CompletableFuture.completedFuture(null);
     }
-    return source.pages(missing).thenAccept(found -> putChecked(found, have));
+    return source.pages(missing).thenAccept(found -> putVerified(found, available));
   }
 
-  /** A page counts only if its text has the hash that names it, whoever gave it. */
-  private static void putChecked(Map<String, String> found, Map<String, String> have) {
+  /** Adds the pages whose text matches their hash; pages of any source are verified. */
+  private static void putVerified(Map<String, String> found, Map<String, String> available) {
     found.forEach(
         (hash, text) -> {
           if (ContentHash.of(text).equals(hash)) {
-            have.put(hash, text);
+            available.put(hash, text);
           }
         });
   }
 
-  private void enforce(ConfigurationHead offered, String text, Map<String, String> texts) {
-    Map<String, ConfigurationPage> nextPages = readPages(offered, texts);
+  private void activate(ConfigurationHead offered, String text, Map<String, String> texts) {
+    Map<String, ConfigurationPage> nextPages = decodePages(offered, texts);
     ConfigurationSnapshot next = snapshotOf(offered, nextPages);
     synchronized (this) {
       if (loaded && offered.version() <= version()) {
@@ -167,7 +169,7 @@
       head = Optional.of(offered);
       headText = text;
       pages = texts;
-      readPages = nextPages;
+      decodedPages = nextPages;
       snapshot = next;
       loaded = true;
     }
@@ -176,15 +178,15 @@
     listeners.forEach(listener -> listener.accept(next));
   }
 
-  private Map<String, ConfigurationPage> readPages(
+  private Map<String, ConfigurationPage> decodePages(
       ConfigurationHead offered, Map<String, String> texts) {
     Map<String, ConfigurationPage> known;
     synchronized (this) {
-      known = readPages;
+      known = decodedPages;
     }
     Map<String, ConfigurationPage> next = new HashMap<>();
     for (String hash : offered.pages().values()) {
-      checkArgument(texts.containsKey(hash), "page %s could not be had", hash);
+      checkArgument(texts.containsKey(hash), "page %s could not be fetched", hash);
       ConfigurationPage page = known.get(hash);
       next.put(hash, page == null ? format.decodePage(texts.get(hash)) : page);
     }
@@ -202,7 +204,7 @@
     return ConfigurationSnapshot.of(offered.version(), templates, workspaces);
   }
 
-  /** Returns the head in force, if any was read. */
+  /** Returns the head in force; empty if there is none. */
   public synchronized Optional<ConfigurationHead> head() {
     return head;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationChange.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationChange.java
@@ -9,14 +9,14 @@
 import org.vaneworks.state.Workspace;
 
 /**
- * What an operator wants changed, all at once.
+ * A change of the configuration by an operator, which is applied atomically.
  *
- * @param changeId unique name of the change
- * @param author who asks
- * @param summary what for
- * @param templates to add or replace
- * @param workspaces to add or replace
- * @param deletions to remove
+ * @param changeId unique id of the change
+ * @param author author of the change
+ * @param summary description of the change
+ * @param templates templates to add or replace
+ * @param workspaces workspaces to add or replace
+ * @param deletions keys of the resources to delete
  */
 public record ConfigurationChange(
     String changeId,
@@ -25,12 +25,12 @@
     ImmutableList<Template> templates,
     ImmutableList<Workspace> workspaces,
     ImmutableSet<ResourceKey> deletions) {
-  /** Checks that the change is named. */
+  /** Checks that the change has an id. */
   public ConfigurationChange {
-    checkArgument(!changeId.isEmpty(), "a change must be named");
+    checkArgument(!changeId.isEmpty(), "change id must not be empty");
   }
 
-  /** Returns the keys of all resources that the change speaks of. */
+  /** Returns the keys of all resources that the change adds, replaces or deletes. */
   public ImmutableSet<ResourceKey> keys() {
     ImmutableSet.Builder<ResourceKey> keys = ImmutableSet.builder();
     templates.forEach(t -> keys.add(new ResourceKey(ResourceKey.Kind.TEMPLATE, t.name())));
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationEditor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationEditor.java
@@ -36,16 +36,16 @@
 import org.vaneworks.state.Workspace;
 
 /**
- * Changes the configuration in the platform's store; the operators' command uses it.
+ * Changes the configuration in the platform's store; used by the command line.
  *
- * <p>A change is accepted by one compare-and-swap of the head, after its immutable pages were
- * written. The whole result is validated against the very head that it replaces. When the answer to
- * the swap is lost, the head is read back and searched for the change's id; sending the swap again
- * is safe, since it can succeed at most once.
+ * <p>A change takes effect by one compare-and-swap of the head, after its immutable pages have been
+ * written. The complete result is validated against the same head that the swap replaces.
+ * If the response to the swap is lost, the head is read back and its history searched for the id of the
+ * change. Retrying the swap is safe, because it can succeed at most once.
  */
 public final class ConfigurationEditor {
-  private static final int MAX_TRIES = 12;
-  private static final Duration FIRST_PAUSE = Duration.ofMillis(50);
+  private static final int MAX_ATTEMPTS = 12;
+  private static final Duration INITIAL_BACKOFF = Duration.ofMillis(50);
   private static final int MAX_DOUBLINGS = 6;
 
   private final Executor executor;
@@ -64,7 +64,7 @@
   /**
    * Returns an editor.
    *
-   * @param wallClock milliseconds since 1970, for the history only
+   * @param wallClock milliseconds since the Unix epoch; used only for the history
    */
   public static ConfigurationEditor create(
       Executor executor, PlatformStore store, ConfigurationFormat format, LongSupplier wallClock) {
@@ -86,10 +86,10 @@
   private CompletableFuture<StoredConfiguration> loadPages(ConfigurationHead head, long revision) {
     return PageSource.of(store)
         .pages(ImmutableSet.copyOf(head.pages().values()))
-        .thenApply(texts -> stored(head, revision, texts));
+        .thenApply(texts -> decode(head, revision, texts));
   }
 
-  private StoredConfiguration stored(
+  private StoredConfiguration decode(
       ConfigurationHead head, long revision, Map<String, String> texts) {
     ImmutableMap.Builder<Integer, ConfigurationPage> pages = ImmutableMap.builder();
     head.pages()
@@ -111,33 +111,34 @@
   }
 
   /**
-   * Makes a change.
+   * Applies a change.
    *
-   * <p>If another change gets in first, this one is made on top of it, unless both touch the same
-   * resource.
+   * <p>If another change was applied concurrently, this one is rebased onto it, unless both concern
+   * the same resource.
    *
-   * @param onlyAt if present, the only version that the change may replace
-   * @return the head that holds the change; fails with {@link ConflictException}, {@link
+   * @param expectedVersion if present, the only version that the change may replace
+   * @return the head that contains the change; fails with {@link ConflictException}, {@link
    *     StoreException} or {@link IllegalArgumentException}
    */
   public CompletableFuture<ConfigurationHead> apply(
-      ConfigurationChange change, OptionalLong onlyAt) {
+      ConfigurationChange change, OptionalLong expectedVersion) {
     return load()
         .thenCompose(
             base -> {
               long version = base.head().version();
-              if (onlyAt.isPresent() && onlyAt.getAsLong() != version) {
+              if (expectedVersion.isPresent() && expectedVersion.getAsLong() != version) {
                 return CompletableFuture.failedFuture(
                     new ConflictException(base.head(), change.keys()));
               }
-              return swap(change, onlyAt, base, base, 1);
+              return swap(change, expectedVersion, base, base, 1);
             });
   }
 
   /**
-   * Brings back the resources of an earlier version, as a new, higher version.
+   * Restores the resources of an earlier version, as a new, higher version.
    *
-   * @throws IllegalArgumentException through the future, if the version is not remembered
+   * @return the new head; fails with {@link IllegalArgumentException} if the version is not in the
+   *     history
    */
   public CompletableFuture<ConfigurationHead> rollback(
       long version, String changeId, String author) {
@@ -152,17 +153,17 @@
                                 OptionalLong.of(base.head().version()))));
   }
 
-  /** Reads an earlier version, which the history must remember. */
+  /** Reads an earlier version, which must be in the history of the current configuration. */
   public CompletableFuture<StoredConfiguration> loadArchived(
-      StoredConfiguration now, long version) {
+      StoredConfiguration current, long version) {
     Optional<ChangeRecord> record =
-        now.head().history().stream().filter(r -> r.version() == version).findFirst();
+        current.head().history().stream().filter(r -> r.version() == version).findFirst();
     checkArgument(record.isPresent(), "version %s is not in the history", version);
     return store
         .read(ConfigurationHead.archiveKey(record.get().changeId()), StorePurpose.CHANGE)
         .thenCompose(
             entry -> {
-              checkArgument(entry.isPresent(), "version %s was not kept", version);
+              checkArgument(entry.isPresent(), "version %s is no longer archived", version);
               return loadPages(format.decodeHead(entry.get().value()), 0);
             });
   }
@@ -182,13 +183,13 @@
 
   private CompletableFuture<ConfigurationHead> swap(
       ConfigurationChange change,
-      OptionalLong onlyAt,
-      StoredConfiguration first,
+      OptionalLong expectedVersion,
+      StoredConfiguration original,
       StoredConfiguration base,
-      int attempt) {
-    ImmutableMap<Integer, ConfigurationPage> pages = changed(base, change);
+      int attemptNumber) {
+    ImmutableMap<Integer, ConfigurationPage> pages = applyTo(base, change);
     long version = base.head().version() + 1;
-    // Validates the whole result before anything is written.
+    // Validates the complete result before anything is written.
     var unused = snapshot(version, pages);
     ImmutableSortedMap.Builder<Integer, String> hashes = ImmutableSortedMap.naturalOrder();
     Map<String, String> texts = new TreeMap<>();
@@ -203,75 +204,86 @@
         new ConfigurationHead(
             version, change.changeId(), hashes.buildOrThrow(), history(base.head(), change));
     String nextText = format.encodeHead(next);
-    Try made = new Try(change, onlyAt, first, base, attempt);
+    SwapAttempt attempt = new SwapAttempt(change, expectedVersion, original, base, attemptNumber);
     return Async.compose(
         writeAll(texts, nextText, change.changeId())
             .thenCompose(done -> swapHead(base.revision(), nextText)),
         (swapped, failure) -> {
           if (failure != null) {
-            return afterFailure(made, failure);
+            return afterFailure(attempt, failure);
           }
           return swapped.isPresent()
               ? CompletableFuture.completedFuture(next)
-              : settle(made, Optional.empty());
+              : reconcile(attempt, Optional.empty());
         });
   }
 
-  /** One try to swap the head, and what the operator's change was made against at first. */
-  private record Try(
+  /** One attempt to swap the head, with the configuration that the change was first based on. */
+  private record SwapAttempt(
       ConfigurationChange change,
-      OptionalLong onlyAt,
-      StoredConfiguration first,
+      OptionalLong expectedVersion,
+      StoredConfiguration original,
       StoredConfiguration base,
-      int attempt) {
-    Try again() {
-      return new Try(change, onlyAt, first, base, attempt + 1);
+      int attemptNumber) {
+    SwapAttempt next() {
+      return new SwapAttempt(change, expectedVersion, original, base, attemptNumber + 1);
     }
   }
 
-  private CompletableFuture<ConfigurationHead> afterFailure(Try made, Throwable cause) {
-    if (!(cause instanceof StoreException) || made.attempt() >= MAX_TRIES) {
+  private CompletableFuture<ConfigurationHead> afterFailure(SwapAttempt attempt, Throwable cause) {
+    if (!(cause instanceof StoreException) || attempt.attemptNumber() >= MAX_ATTEMPTS) {
       return CompletableFuture.failedFuture(cause);
     }
-    return pause(made.attempt())
-        .thenCompose(waited -> settle(made, Optional.of((StoreException) cause)));
+    return backoff(attempt.attemptNumber())
+        .thenCompose(waited -> reconcile(attempt, Optional.of((StoreException) cause)));
   }
 
-  private CompletableFuture<Void> pause(int attempt) {
+  private CompletableFuture<Void> backoff(int attemptNumber) {
     return Async.delay(
-        executor, FIRST_PAUSE.multipliedBy(1L << Math.min(attempt - 1, MAX_DOUBLINGS)));
+        executor, INITIAL_BACKOFF.multipliedBy(1L << Math.min(attemptNumber - 1, MAX_DOUBLINGS)));
   }
 
-  /** Reads the head back and decides: made already, to be made again on top, or in conflict. */
-  private CompletableFuture<ConfigurationHead> settle(Try made, Optional<StoreException> failure) {
+  /**
+   * Reads the head back after an unsuccessful or unanswered swap, and determines whether the change
+   * was applied, has to be retried on the current head, or conflicts with another change.
+   */
+  private CompletableFuture<ConfigurationHead> reconcile(
+      SwapAttempt attempt, Optional<StoreException> failure) {
     return Async.compose(
         load(),
-        (now, unread) ->
-            unread == null ? decide(made, now, failure) : afterFailure(made.again(), unread));
+        (current, loadFailure) ->
+            loadFailure == null
+                ? resolve(attempt, current, failure)
+                : afterFailure(attempt.next(), loadFailure));
   }
 
-  private CompletableFuture<ConfigurationHead> decide(
-      Try made, StoredConfiguration now, Optional<StoreException> failure) {
-    ConfigurationChange change = made.change();
-    if (now.head().remembers(change.changeId())) {
-      return CompletableFuture.completedFuture(now.head());
+  private CompletableFuture<ConfigurationHead> resolve(
+      SwapAttempt attempt, StoredConfiguration current, Optional<StoreException> failure) {
+    ConfigurationChange change = attempt.change();
+    if (current.head().remembers(change.changeId())) {
+      return CompletableFuture.completedFuture(current.head());
     }
-    boolean moved = now.revision() != made.base().revision();
-    ImmutableSet<ResourceKey> both = touchedSince(made.first(), now, change);
-    if (moved && (made.onlyAt().isPresent() || !both.isEmpty())) {
-      return CompletableFuture.failedFuture(new ConflictException(now.head(), both));
+    boolean headChanged = current.revision() != attempt.base().revision();
+    ImmutableSet<ResourceKey> conflicting = changedSince(attempt.original(), current, change);
+    if (headChanged && (attempt.expectedVersion().isPresent() || !conflicting.isEmpty())) {
+      return CompletableFuture.failedFuture(new ConflictException(current.head(), conflicting));
     }
-    if (made.attempt() >= MAX_TRIES) {
+    if (attempt.attemptNumber() >= MAX_ATTEMPTS) {
       return CompletableFuture.failedFuture(
-          failure.orElse(StoreException.withoutEffect("too many operators at once")));
+          failure.orElse(StoreException.withoutEffect("too many concurrent changes")));
     }
-    return swap(change, made.onlyAt(), made.first(), now, made.attempt() + 1);
+    return swap(
+        change,
+        attempt.expectedVersion(),
+        attempt.original(),
+        current,
+        attempt.attemptNumber() + 1);
   }
 
-  private static ImmutableSet<ResourceKey> touchedSince(
-      StoredConfiguration first, StoredConfiguration now, ConfigurationChange change) {
+  private static ImmutableSet<ResourceKey> changedSince(
+      StoredConfiguration original, StoredConfiguration current, ConfigurationChange change) {
     return change.keys().stream()
-        .filter(key -> !Objects.equals(first.resource(key), now.resource(key)))
+        .filter(key -> !Objects.equals(original.resource(key), current.resource(key)))
         .collect(ImmutableSet.toImmutableSet());
   }
 
@@ -279,18 +291,18 @@
       Map<String, String> texts, String headText, String changeId) {
     Stream<CompletableFuture<Optional<Long>>> pages =
         texts.entrySet().stream()
-            .map(page -> writeNew(ConfigurationHead.pageKey(page.getKey()), page.getValue()));
+            .map(page -> writeImmutable(ConfigurationHead.pageKey(page.getKey()), page.getValue()));
     var archive = writeArchive(ConfigurationHead.archiveKey(changeId), headText);
     return CompletableFuture.allOf(
         Stream.concat(pages, Stream.of(archive)).toArray(CompletableFuture[]::new));
   }
 
-  /** Writes a value that never changes; that it is there already is as good. */
-  private CompletableFuture<Optional<Long>> writeNew(String key, String value) {
+  /** Writes an immutable value; does nothing if it already exists. */
+  private CompletableFuture<Optional<Long>> writeImmutable(String key, String value) {
     return store.compareAndSwap(key, 0, value, StorePurpose.CHANGE);
   }
 
-  /** Writes the archive of a head, over that of an earlier try of the same change. */
+  /** Writes the archive of a head, replacing that of an earlier attempt of the same change. */
   private CompletableFuture<Optional<Long>> writeArchive(String key, String value) {
     return store
         .read(key, StorePurpose.CHANGE)
@@ -317,7 +329,7 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  private static ImmutableMap<Integer, ConfigurationPage> changed(
+  private static ImmutableMap<Integer, ConfigurationPage> applyTo(
       StoredConfiguration base, ConfigurationChange change) {
     Map<ResourceKey, Template> templates = new TreeMap<>();
     Map<ResourceKey, Workspace> workspaces = new TreeMap<>();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationFollower.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationFollower.java
@@ -17,22 +17,22 @@
 import org.vaneworks.telemetry.EventLog;
 
 /**
- * Keeps asking the platform's store for newer heads.
+ * Fetches new configuration heads from the platform's store.
  *
- * <p>A few nodes wait on a watch; the others poll slowly and hear of changes from their peers
- * meanwhile. Which nodes watch is for efficiency only: any number of watchers is safe.
+ * <p>A few nodes keep a watch open. The others poll at a long interval and receive changes from
+ * their peers in between. The number of watchers affects only efficiency, not correctness.
  */
 public final class ConfigurationFollower {
-  private static final Duration WATCH = Duration.ofSeconds(10);
-  private static final Duration POLL = Duration.ofSeconds(12);
-  private static final Duration UNREADY_POLL = Duration.ofMillis(500);
-  private static final Duration FIRST_BACKOFF = Duration.ofMillis(250);
+  private static final Duration WATCH_WAIT = Duration.ofSeconds(10);
+  private static final Duration POLL_INTERVAL = Duration.ofSeconds(12);
+  private static final Duration INITIAL_POLL_INTERVAL = Duration.ofMillis(500);
+  private static final Duration INITIAL_BACKOFF = Duration.ofMillis(250);
   private static final int MAX_DOUBLINGS = 5;
 
   private final Executor executor;
   private final PlatformStore store;
-  private final ActiveConfiguration board;
-  private final BooleanSupplier watches;
+  private final ActiveConfiguration configuration;
+  private final BooleanSupplier shouldWatch;
   private final Random random;
   private volatile boolean stopped;
   private volatile long revision;
@@ -41,98 +41,100 @@
   private ConfigurationFollower(
       Executor executor,
       PlatformStore store,
-      ActiveConfiguration board,
-      BooleanSupplier watches,
+      ActiveConfiguration configuration,
+      BooleanSupplier shouldWatch,
       Random random) {
     this.executor = checkNotNull(executor);
     this.store = checkNotNull(store);
-    this.board = checkNotNull(board);
-    this.watches = checkNotNull(watches);
+    this.configuration = checkNotNull(configuration);
+    this.shouldWatch = checkNotNull(shouldWatch);
     this.random = checkNotNull(random);
   }
 
   /**
-   * Returns a follower that is yet to be started.
+   * Returns a follower that has not been started.
    *
-   * @param watches whether this node is among those that hold a watch now
+   * @param shouldWatch whether this node should currently keep a watch open
    */
   public static ConfigurationFollower create(
       Executor executor,
       PlatformStore store,
-      ActiveConfiguration board,
-      BooleanSupplier watches,
+      ActiveConfiguration configuration,
+      BooleanSupplier shouldWatch,
       Random random) {
-    return new ConfigurationFollower(executor, store, board, watches, random);
+    return new ConfigurationFollower(executor, store, configuration, shouldWatch, random);
   }
 
-  /** Starts to follow. */
+  /** Starts to follow the head. */
   public void start() {
-    executor.execute(this::ask);
+    executor.execute(this::poll);
   }
 
-  /** Stops to follow; a call on its way is let go. */
+  /** Stops following the head; the result of a pending call is ignored. */
   public void stop() {
     stopped = true;
   }
 
-  private void ask() {
+  private void poll() {
     if (stopped) {
       return;
     }
-    boolean watch = board.isLoaded() && watches.getAsBoolean();
+    boolean watch = configuration.isLoaded() && shouldWatch.getAsBoolean();
     var answer =
         watch
-            ? store.watch(ConfigurationHead.KEY, revision, WATCH)
+            ? store.watch(ConfigurationHead.KEY, revision, WATCH_WAIT)
             : store.read(ConfigurationHead.KEY, StorePurpose.HEAD);
-    Async.onDone(answer, executor, (entry, failure) -> answered(watch, entry, failure));
+    Async.onDone(answer, executor, (entry, failure) -> handleResponse(watch, entry, failure));
   }
 
-  private void answered(boolean watched, Optional<StoreEntry> entry, Throwable failure) {
+  private void handleResponse(boolean watched, Optional<StoreEntry> entry, Throwable failure) {
     if (failure != null) {
-      askAgain(backoff());
+      schedulePoll(nextBackoff());
       return;
     }
     if (entry.isEmpty()) {
       if (!watched) {
-        board.offerEmpty();
+        configuration.offerEmpty();
       }
-      succeeded(watched);
+      handleSuccess(watched);
       return;
     }
     Async.onDone(
-        board.offer(entry.get().value(), hashes -> PageSource.of(store).pages(hashes)),
+        configuration.offer(entry.get().value(), hashes -> PageSource.of(store).pages(hashes)),
         executor,
-        (done, unreadable) -> offered(watched, entry.get(), unreadable));
+        (done, offerFailure) -> handleOffered(watched, entry.get(), offerFailure));
   }
 
-  private void offered(boolean watched, StoreEntry entry, Throwable unreadable) {
-    if (unreadable != null) {
-      EventLog.warn(Event.CONFIGURATION_UNREADABLE, "cause", unreadable);
-      askAgain(backoff());
+  private void handleOffered(boolean watched, StoreEntry entry, Throwable offerFailure) {
+    if (offerFailure != null) {
+      EventLog.warn(Event.CONFIGURATION_UNREADABLE, "cause", offerFailure);
+      schedulePoll(nextBackoff());
       return;
     }
-    // Only now: a head whose pages could not be had must be seen again by the next watch.
+    // Set only after success, so that the next watch returns a head whose pages were not fetched.
     revision = Math.max(revision, entry.revision());
-    succeeded(watched);
+    handleSuccess(watched);
   }
 
-  private void succeeded(boolean watched) {
+  private void handleSuccess(boolean watched) {
     failures = 0;
-    boolean watchNext = board.isLoaded() && watches.getAsBoolean();
-    askAgain(
-        watchNext || watched ? Duration.ZERO : jittered(board.isLoaded() ? POLL : UNREADY_POLL));
+    boolean watchNext = configuration.isLoaded() && shouldWatch.getAsBoolean();
+    schedulePoll(
+        watchNext || watched
+            ? Duration.ZERO
+            : jittered(configuration.isLoaded() ? POLL_INTERVAL : INITIAL_POLL_INTERVAL));
   }
 
-  private Duration backoff() {
+  private Duration nextBackoff() {
     failures++;
-    return jittered(FIRST_BACKOFF.multipliedBy(1L << Math.min(failures - 1, MAX_DOUBLINGS)));
+    return jittered(INITIAL_BACKOFF.multipliedBy(1L << Math.min(failures - 1, MAX_DOUBLINGS)));
   }
 
   private Duration jittered(Duration base) {
     return Duration.ofNanos((long) (base.toNanos() * (0.75 + random.nextDouble() / 2)));
   }
 
-  private void askAgain(Duration delay) {
-    executor.schedule(this::ask, delay);
+  private void schedulePoll(Duration delay) {
+    executor.schedule(this::poll, delay);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationFormat.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationFormat.java
@@ -3,28 +3,28 @@
 import org.vaneworks.state.ConfigurationHead;
 
 /**
- * The text forms of head and pages.
+ * Encodes configuration heads and pages as text.
  *
- * <p>Equal pages have equal text, so that a page's hash names its content.
+ * <p>Equal pages have equal text, so that the hash of a page's text identifies its content.
  */
 public interface ConfigurationFormat {
-  /** Returns the head's text. */
+  /** Encodes a head. */
   String encodeHead(ConfigurationHead head);
 
   /**
-   * Returns the head that the text stands for.
+   * Decodes a head.
    *
-   * @throws IllegalArgumentException if the text is no head
+   * @throws IllegalArgumentException if the text is not a valid head
    */
   ConfigurationHead decodeHead(String text);
 
-  /** Returns the page's text. */
+  /** Encodes a page. */
   String encodePage(ConfigurationPage page);
 
   /**
-   * Returns the page that the text stands for.
+   * Decodes a page.
    *
-   * @throws IllegalArgumentException if the text is no page
+   * @throws IllegalArgumentException if the text is not a valid page
    */
   ConfigurationPage decodePage(String text);
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationPage.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationPage.java
@@ -9,12 +9,12 @@
 /**
  * One immutable page of the configuration.
  *
- * @param templates the templates that hash to the page, by name
- * @param workspaces the workspaces that hash to the page, by name
+ * @param templates the templates that hash to the page, sorted by name
+ * @param workspaces the workspaces that hash to the page, sorted by name
  */
 public record ConfigurationPage(
     ImmutableList<Template> templates, ImmutableList<Workspace> workspaces) {
-  /** Checks that both lists are given. */
+  /** Checks that no component is null. */
   public ConfigurationPage {
     checkNotNull(templates);
     checkNotNull(workspaces);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConflictException.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConflictException.java
@@ -6,7 +6,7 @@
 import org.vaneworks.state.ConfigurationHead;
 import org.vaneworks.state.ResourceKey;
 
-/** Says that another change got in first and touched the same resources. */
+/** Thrown when a change conflicts with another change that was applied first. */
 public final class ConflictException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
@@ -19,7 +19,7 @@
             + winner.version()
             + " (change "
             + winner.changeId()
-            + ") got in first and touched "
+            + ") was applied first and changed "
             + resources,
         null,
         false,
@@ -28,12 +28,12 @@
     this.resources = checkNotNull(resources);
   }
 
-  /** Returns the head that got in first. */
+  /** Returns the head that was applied first. */
   public ConfigurationHead winner() {
     return winner;
   }
 
-  /** Returns the resources that both changes touch. */
+  /** Returns the resources that both changes concern. */
   public ImmutableSet<ResourceKey> resources() {
     return resources;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ContentHash.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ContentHash.java
@@ -3,9 +3,9 @@
 import com.google.common.hash.Hashing;
 import java.nio.charset.StandardCharsets;
 
-/** Names a text by its content. */
+/** Computes the hash that identifies a configuration page by its content. */
 final class ContentHash {
-  /** 128 bits, as 32 hexadecimal digits: enough that no two pages ever meet. */
+  /** Number of hexadecimal digits; 128 bits are enough to rule out collisions of pages. */
   private static final int DIGITS = 32;
 
   private ContentHash() {}
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/StoredConfiguration.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/StoredConfiguration.java
@@ -9,10 +9,10 @@
 import org.vaneworks.state.ResourceKey;
 
 /**
- * The configuration as the store holds it.
+ * The configuration as read from the store.
  *
  * @param head the head
- * @param revision the head's revision in the store; 0 if there is none yet
+ * @param revision the head's revision in the store; 0 if there is no head yet
  * @param pages the pages by number
  * @param snapshot all resources, validated
  */
@@ -21,14 +21,14 @@
     long revision,
     ImmutableMap<Integer, ConfigurationPage> pages,
     ConfigurationSnapshot snapshot) {
-  /** Checks that every part is given. */
+  /** Checks that no component is null. */
   public StoredConfiguration {
     checkNotNull(head);
     checkNotNull(pages);
     checkNotNull(snapshot);
   }
 
-  /** Returns the resource of that key: a template or a workspace. */
+  /** Returns the template or workspace with the given key; empty if there is none. */
   public Optional<Record> resource(ResourceKey key) {
     return Optional.ofNullable(
         switch (key.kind()) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/package-info.java
@@ -1,9 +1,9 @@
 /**
- * What operators configured, as pages and a head in the platform's store.
+ * The operators' configuration, stored as a head and pages in the platform's store.
  *
- * <p>{@code ConfigurationEditor} decides whether a change is accepted, from the head that it read
- * and by compare-and-swap; {@code ConfigurationFollower} and {@code ConfigurationBoard} decide
- * which version is in force on a node, which never goes back. Called by {@code Node}, which also
- * spreads pages to peers, and by the operators' command.
+ * <p>{@code ConfigurationEditor} applies a change by compare-and-swap of the head that it read.
+ * {@code ConfigurationFollower} and {@code ActiveConfiguration} determine which version is in force
+ * on a node; that version never decreases. Used by {@code Node}, which also replicates pages to
+ * peers, and by the command line.
  */
 package org.vaneworks.coordination.configuration;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/membership/Gossip.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/membership/Gossip.java
@@ -6,19 +6,19 @@
 import org.vaneworks.coordination.endpoints.EndpointHint;
 
 /**
- * What every membership message carries.
+ * The gossip carried by every membership message.
  *
  * @param sender the sender's own entry
  * @param version the configuration version in force at the sender
- * @param members news of members
- * @param leaving news of endpoints that leave
+ * @param members updates about members
+ * @param leaving endpoints that are about to leave
  */
 public record Gossip(
     Member sender,
     long version,
     ImmutableList<Member> members,
     ImmutableList<EndpointHint> leaving) {
-  /** Checks that every part is given. */
+  /** Checks that no component is null. */
   public Gossip {
     checkNotNull(sender);
     checkNotNull(members);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/membership/Member.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/membership/Member.java
@@ -7,14 +7,14 @@
 import org.vaneworks.state.HostPort;
 
 /**
- * What is said of one run of one node.
+ * The membership entry of one incarnation of a node.
  *
- * @param identity name and incarnation, unique among all runs of all nodes
- * @param address where peers reach it
- * @param dataCentre where its box stands
- * @param sequence raised by the node itself to refute a suspicion
- * @param status whether it is thought alive
- * @param successor who took its records over, once it left as planned
+ * @param identity name and incarnation, unique among all incarnations of all nodes
+ * @param address address on which peers reach the node
+ * @param dataCentre data centre of its box
+ * @param sequence incremented only by the node itself, to refute a suspicion
+ * @param status whether the node is believed to be alive
+ * @param successor node that took over its records, if it left in a planned shutdown
  */
 public record Member(
     String identity,
@@ -23,21 +23,24 @@
     long sequence,
     MemberStatus status,
     Optional<String> successor) {
-  /** Checks that every part is given. */
+  /** Checks that the identity is not empty and no component is null. */
   public Member {
-    checkArgument(!identity.isEmpty(), "a member must be named");
+    checkArgument(!identity.isEmpty(), "member identity must not be empty");
     checkNotNull(address);
     checkNotNull(dataCentre);
     checkNotNull(status);
     checkNotNull(successor);
   }
 
-  /** Returns a copy with another status. */
-  Member withStatus(MemberStatus next) {
-    return new Member(identity, address, dataCentre, sequence, next, successor);
+  /** Returns a copy with the given status. */
+  Member withStatus(MemberStatus status) {
+    return new Member(identity, address, dataCentre, sequence, status, successor);
   }
 
-  /** Returns whether this says more than the other: later, or worse at the same sequence. */
+  /**
+   * Returns whether this entry supersedes the other: it has a higher sequence, or the same sequence
+   * and a status that ranks higher.
+   */
   boolean overrides(Member other) {
     if (sequence != other.sequence) {
       return sequence > other.sequence;
@@ -45,7 +48,7 @@
     return status.compareTo(other.status) > 0;
   }
 
-  /** Returns whether the member may be asked for something. */
+  /** Returns whether requests may be sent to the member: it is alive or only suspected. */
   public boolean isPresent() {
     return status.compareTo(MemberStatus.SUSPECT) <= 0;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/membership/MemberStatus.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/membership/MemberStatus.java
@@ -1,6 +1,6 @@
 package org.vaneworks.coordination.membership;
 
-/** Whether a member is thought alive; at equal sequence the later constant wins. */
+/** Believed status of a member; among entries of equal sequence, the later constant wins. */
 public enum MemberStatus {
   ALIVE,
   SUSPECT,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/membership/MemberTable.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/membership/MemberTable.java
@@ -18,25 +18,25 @@
 import org.vaneworks.telemetry.EventLog;
 
 /**
- * What this node thinks of every member, and which news are still to be passed on.
+ * This node's view of all members, and the updates that are still to be gossiped.
  *
- * <p>Thread-safe; its lock is taken with no other lock held inside.
+ * <p>Thread-safe. No other lock is acquired while the lock of the table is held.
  */
 public final class MemberTable {
-  /** A news item is passed on this often for each doubling of the members. */
-  private static final int REPEATS_PER_DOUBLING = 3;
+  /** An update is sent this many times for each doubling of the number of members. */
+  private static final int SENDS_PER_DOUBLING = 3;
 
-  /** Members that are gone are remembered this long, so that old news can't bring them back. */
-  private static final Duration REMEMBER_GONE = Duration.ofMinutes(30);
+  /** How long departed members are kept, so that outdated updates do not add them again. */
+  private static final Duration DEPARTED_RETENTION = Duration.ofMinutes(30);
 
   private static final class Entry {
     private Member member;
-    private int timesTold;
-    private long since;
+    private int timesSent;
+    private long changedAt;
 
-    Entry(Member member, long since) {
+    Entry(Member member, long changedAt) {
       this.member = member;
-      this.since = since;
+      this.changedAt = changedAt;
     }
   }
 
@@ -53,7 +53,7 @@
     this.self = self;
   }
 
-  /** Returns a table that knows only this node. */
+  /** Returns a table that contains only this node. */
   public static MemberTable create(Executor clock, Member self) {
     return new MemberTable(clock, self);
   }
@@ -63,8 +63,8 @@
     return self;
   }
 
-  /** Changes this node's own entry; the change is news. */
-  synchronized void selfIs(MemberStatus status, Optional<String> successor) {
+  /** Updates this node's own entry under a higher sequence. */
+  synchronized void updateSelf(MemberStatus status, Optional<String> successor) {
     self =
         new Member(
             self.identity(),
@@ -75,81 +75,82 @@
             successor);
   }
 
-  /** Takes news in; returns whether it was new. */
-  boolean merge(Member news) {
+  /** Merges an update into the table; returns whether it changed the table. */
+  boolean merge(Member update) {
     synchronized (this) {
-      if (news.identity().equals(self.identity())) {
-        refute(news);
+      if (update.identity().equals(self.identity())) {
+        refute(update);
         return false;
       }
-      Entry known = entries.get(news.identity());
-      if (known != null && !news.overrides(known.member)) {
+      Entry known = entries.get(update.identity());
+      if (known != null && !update.overrides(known.member)) {
         return false;
       }
       boolean wasPresent = known != null && known.member.isPresent();
       if (known == null) {
-        entries.put(news.identity(), new Entry(news, now()));
+        entries.put(update.identity(), new Entry(update, now()));
       } else {
-        known.member = news;
-        known.timesTold = 0;
-        known.since = now();
+        known.member = update;
+        known.timesSent = 0;
+        known.changedAt = now();
       }
-      replaceOlderRun(news);
-      log(news, wasPresent);
+      replaceEarlierIncarnation(update);
+      log(update, wasPresent);
     }
     return true;
   }
 
-  /** Someone doubts this node: it says so itself, at a higher sequence, that it is alive. */
+  /** Refutes a suspicion of this node by raising its sequence above that of the update. */
   @GuardedBy("this")
-  private void refute(Member news) {
-    boolean doubted = news.status() != MemberStatus.ALIVE && self.status() == MemberStatus.ALIVE;
-    if (doubted && news.sequence() >= self.sequence()) {
+  private void refute(Member update) {
+    boolean suspected =
+        update.status() != MemberStatus.ALIVE && self.status() == MemberStatus.ALIVE;
+    if (suspected && update.sequence() >= self.sequence()) {
       self =
           new Member(
               self.identity(),
               self.address(),
               self.dataCentre(),
-              news.sequence() + 1,
+              update.sequence() + 1,
               self.status(),
               self.successor());
     }
   }
 
-  /** An address has one live run at a time: a new run there ends the one before. */
+  /** Marks earlier incarnations at the same address as dead; an address has one live node. */
   @GuardedBy("this")
-  private void replaceOlderRun(Member news) {
-    if (news.status() != MemberStatus.ALIVE) {
+  private void replaceEarlierIncarnation(Member update) {
+    if (update.status() != MemberStatus.ALIVE) {
       return;
     }
     for (Entry entry : entries.values()) {
-      boolean sameAddress = entry.member.address().equals(news.address());
-      if (sameAddress && entry.member.isPresent() && !entry.member.equals(news)) {
+      boolean sameAddress = entry.member.address().equals(update.address());
+      if (sameAddress && entry.member.isPresent() && !entry.member.equals(update)) {
         entry.member = entry.member.withStatus(MemberStatus.DEAD);
-        entry.timesTold = 0;
-        entry.since = now();
+        entry.timesSent = 0;
+        entry.changedAt = now();
       }
     }
   }
 
-  private static void log(Member news, boolean wasPresent) {
+  private static void log(Member update, boolean wasPresent) {
     Event event =
-        switch (news.status()) {
+        switch (update.status()) {
           case ALIVE -> Event.MEMBER_JOINED;
           case SUSPECT -> Event.MEMBER_SUSPECTED;
           case DEAD, LEFT -> Event.MEMBER_LEFT;
         };
-    if (news.status() != MemberStatus.ALIVE || !wasPresent) {
-      EventLog.info(event, "member", news.identity(), "status", news.status());
+    if (update.status() != MemberStatus.ALIVE || !wasPresent) {
+      EventLog.info(event, "member", update.identity(), "status", update.status());
     }
   }
 
-  /** Marks a member that does not answer; returns the entry that this made, if it made one. */
+  /** Marks an alive member as suspected; returns the new entry if the status changed. */
   Optional<Member> suspect(String identity) {
     return demote(identity, MemberStatus.ALIVE, MemberStatus.SUSPECT);
   }
 
-  /** Declares a member dead that is still suspected under the same sequence. */
+  /** Marks a member as dead if its entry has not changed since it was suspected. */
   void declareDead(Member suspected) {
     synchronized (this) {
       Entry entry = entries.get(suspected.identity());
@@ -172,42 +173,42 @@
     return merge(demoted) ? Optional.of(demoted) : Optional.empty();
   }
 
-  /** Returns news to send, those told least first; each is told a bounded number of times. */
-  synchronized ImmutableList<Member> news(int atMost) {
-    int limit = REPEATS_PER_DOUBLING * (32 - Integer.numberOfLeadingZeros(entries.size() + 1));
-    List<Entry> untold = new ArrayList<>();
+  /** Returns updates to send, least often sent first; each is sent a bounded number of times. */
+  synchronized ImmutableList<Member> nextUpdates(int atMost) {
+    int limit = SENDS_PER_DOUBLING * (32 - Integer.numberOfLeadingZeros(entries.size() + 1));
+    List<Entry> pending = new ArrayList<>();
     for (Entry entry : entries.values()) {
-      if (entry.timesTold < limit) {
-        untold.add(entry);
+      if (entry.timesSent < limit) {
+        pending.add(entry);
       }
     }
-    untold.sort(Comparator.comparingInt(entry -> entry.timesTold));
-    ImmutableList.Builder<Member> news = ImmutableList.builder();
-    for (Entry entry : untold.subList(0, Math.min(atMost, untold.size()))) {
-      entry.timesTold++;
-      news.add(entry.member);
+    pending.sort(Comparator.comparingInt(entry -> entry.timesSent));
+    ImmutableList.Builder<Member> updates = ImmutableList.builder();
+    for (Entry entry : pending.subList(0, Math.min(atMost, pending.size()))) {
+      entry.timesSent++;
+      updates.add(entry.member);
     }
-    return news.build();
+    return updates.build();
   }
 
-  /** Returns every entry but this node's own. */
+  /** Returns all entries except this node's own. */
   public synchronized ImmutableList<Member> others() {
     return entries.values().stream()
         .map(entry -> entry.member)
         .collect(ImmutableList.toImmutableList());
   }
 
-  /** Returns the others that may be asked for something. */
+  /** Returns the other members to which requests may be sent. */
   public ImmutableList<Member> present() {
     return others().stream().filter(Member::isPresent).collect(ImmutableList.toImmutableList());
   }
 
-  /** Returns how many nodes there are, this one included. */
+  /** Returns the number of present members, including this node. */
   public int size() {
     return present().size() + 1;
   }
 
-  /** Returns what is said of a member, this node included. */
+  /** Returns the entry of a member, which may be this node. */
   public synchronized Optional<Member> find(String identity) {
     if (identity.equals(self.identity())) {
       return Optional.of(self);
@@ -215,20 +216,24 @@
     return Optional.ofNullable(entries.get(identity)).map(entry -> entry.member);
   }
 
-  /** Returns whether a present member listens at an address. */
-  boolean knows(HostPort address) {
+  /** Returns whether this node or a present member has the address. */
+  boolean hasMemberAt(HostPort address) {
     return self().address().equals(address)
         || present().stream().anyMatch(member -> member.address().equals(address));
   }
 
-  /** Returns the identities that a task falls on first, this node's among them. */
+  /** Returns the identities of all present members, ranked by rendezvous hashing for the task. */
   public List<String> rank(String task) {
     Stream<String> identities =
         Stream.concat(Stream.of(self().identity()), present().stream().map(Member::identity));
-    return Rendezvous.order(task, identities);
+    return RendezvousHashing.rank(task, identities);
   }
 
-  /** Returns whether a task of this data centre falls on this node, among the first few. */
+  /**
+   * Returns whether this node ranks among the first members of its data centre for a task.
+   *
+   * @param among number of members that perform the task
+   */
   public boolean isAssignedHere(String task, int among) {
     Member own = self();
     Stream<String> identities =
@@ -237,15 +242,15 @@
             present().stream()
                 .filter(member -> member.dataCentre().equals(own.dataCentre()))
                 .map(Member::identity));
-    return Rendezvous.order(task, identities).stream()
+    return RendezvousHashing.rank(task, identities).stream()
         .limit(among)
         .anyMatch(own.identity()::equals);
   }
 
-  /** Forgets members that are gone for long. */
-  synchronized void forgetOld() {
-    long old = now() - REMEMBER_GONE.toNanos();
-    entries.values().removeIf(entry -> !entry.member.isPresent() && entry.since - old < 0);
+  /** Removes members that departed longer ago than the retention. */
+  synchronized void removeExpired() {
+    long cutoff = now() - DEPARTED_RETENTION.toNanos();
+    entries.values().removeIf(entry -> !entry.member.isPresent() && entry.changedAt - cutoff < 0);
   }
 
   private long now() {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/membership/Membership.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/membership/Membership.java
@@ -27,27 +27,28 @@
 import org.vaneworks.state.HostPort;
 
 /**
- * Keeps track of the other nodes.
+ * Tracks the other nodes with a gossip-based failure detector.
  *
- * <p>Each period a node pings one other, in a shuffled round; one that doesn't answer, not even
- * through others, is suspected, and declared dead unless it refutes that in time. News travel on
- * these messages. Load and detection time stay the same however many nodes there are. Membership is
- * for efficiency; nothing's safety rests on it. Thread-safe.
+ * <p>In each period a node pings one other node, in shuffled round-robin order. A node that answers
+ * neither directly nor through other nodes is suspected, and declared dead unless it refutes the
+ * suspicion in time. Updates are piggybacked on these messages. Load and detection time do not
+ * depend on the number of nodes. Membership serves efficiency only; correctness must not depend on
+ * it. Thread-safe.
  */
 public final class Membership {
-  private static final Duration PERIOD = Duration.ofSeconds(1);
-  private static final Duration PING_LIMIT = Duration.ofMillis(400);
-  private static final Duration INDIRECT_LIMIT = Duration.ofMillis(900);
-  private static final Duration SUSPICION = Duration.ofSeconds(4);
+  private static final Duration PROTOCOL_PERIOD = Duration.ofSeconds(1);
+  private static final Duration PING_TIMEOUT = Duration.ofMillis(400);
+  private static final Duration INDIRECT_PING_TIMEOUT = Duration.ofMillis(900);
+  private static final Duration SUSPICION_TIMEOUT = Duration.ofSeconds(4);
   private static final int INDIRECT_PROBES = 2;
-  private static final int NEWS_PER_MESSAGE = 8;
-  private static final int HINTS_KEPT = 64;
-  private static final int HINT_REPEATS = 12;
-  private static final int RUMOUR_FAN_OUT = 3;
+  private static final int MAX_UPDATES_PER_MESSAGE = 8;
+  private static final int MAX_HINTS = 64;
+  private static final int SENDS_PER_HINT = 12;
+  private static final int GOSSIP_FANOUT = 3;
 
   private static final class Hint {
     private final EndpointHint hint;
-    private int left = HINT_REPEATS;
+    private int remainingSends = SENDS_PER_HINT;
 
     Hint(EndpointHint hint) {
       this.hint = hint;
@@ -83,7 +84,7 @@
   }
 
   /**
-   * Returns membership that is yet to be started.
+   * Returns a membership that has not been started.
    *
    * @param version the configuration version in force here
    */
@@ -92,50 +93,50 @@
     return new Membership(executor, link, table, random, version);
   }
 
-  /** Sets who is told of a peer with a newer configuration. */
+  /** Sets the listener that receives the gossip of peers with a newer configuration version. */
   public void onNewerVersion(Consumer<Gossip> listener) {
     onNewerVersion = checkNotNull(listener);
   }
 
-  /** Sets who is told of an endpoint that leaves. */
+  /** Sets the listener for endpoints that are about to leave. */
   public void onLeaving(Consumer<EndpointHint> listener) {
     onLeaving = checkNotNull(listener);
   }
 
-  /** Starts to ping. */
+  /** Starts to ping other nodes. */
   public void start() {
-    executor.execute(this::period);
+    executor.execute(this::runPeriod);
   }
 
-  /** Stops to ping. */
+  /** Stops pinging other nodes. */
   public void stop() {
     stopped = true;
   }
 
-  /** Takes the addresses at which the platform lists nodes. */
+  /** Sets the node addresses listed by the platform. */
   public synchronized void seeds(Set<HostPort> addresses) {
     seeds = new HashSet<>(addresses);
   }
 
-  private void period() {
+  private void runPeriod() {
     if (stopped) {
       return;
     }
     joinUnknownSeed();
     Optional<Member> next = nextInRound();
     next.ifPresent(this::probe);
-    table.forgetOld();
-    executor.schedule(this::period, PERIOD);
+    table.removeExpired();
+    executor.schedule(this::runPeriod, PROTOCOL_PERIOD);
   }
 
   private void joinUnknownSeed() {
     List<HostPort> unknown = new ArrayList<>();
     synchronized (this) {
-      seeds.stream().filter(seed -> !table.knows(seed)).forEach(unknown::add);
+      seeds.stream().filter(seed -> !table.hasMemberAt(seed)).forEach(unknown::add);
     }
     if (!unknown.isEmpty()) {
       HostPort seed = unknown.get(random.nextInt(unknown.size()));
-      tell(seed, new Ping(gossip(), true));
+      send(seed, new Ping(gossip(), true));
     }
   }
 
@@ -156,40 +157,41 @@
 
   private void probe(Member member) {
     Async.onDone(
-        link.ask(member.address(), new Ping(gossip(), false), PING_LIMIT),
+        link.ask(member.address(), new Ping(gossip(), false), PING_TIMEOUT),
         executor,
         (reply, failure) -> {
-          if (failure != null || !takeAck(reply)) {
-            probeThroughOthers(member);
+          if (failure != null || !handleAck(reply)) {
+            probeIndirectly(member);
           }
         });
   }
 
-  private boolean takeAck(PeerMessage reply) {
+  private boolean handleAck(PeerMessage reply) {
     if (reply instanceof Ack ack) {
-      take(ack.gossip());
+      apply(ack.gossip());
       return true;
     }
     return false;
   }
 
-  private void probeThroughOthers(Member member) {
+  private void probeIndirectly(Member member) {
     List<Member> helpers = new ArrayList<>(table.present());
     helpers.removeIf(helper -> helper.identity().equals(member.identity()));
     Collections.shuffle(helpers, random);
-    List<Member> asked = helpers.subList(0, Math.min(INDIRECT_PROBES, helpers.size()));
-    if (asked.isEmpty()) {
+    List<Member> selected = helpers.subList(0, Math.min(INDIRECT_PROBES, helpers.size()));
+    if (selected.isEmpty()) {
       suspect(member);
       return;
     }
-    AtomicInteger silent = new AtomicInteger();
-    for (Member helper : asked) {
+    AtomicInteger unanswered = new AtomicInteger();
+    for (Member helper : selected) {
       Async.onDone(
-          link.ask(helper.address(), new PingFor(member.address(), gossip()), INDIRECT_LIMIT),
+          link.ask(
+              helper.address(), new PingFor(member.address(), gossip()), INDIRECT_PING_TIMEOUT),
           executor,
           (reply, failure) -> {
-            boolean answered = failure == null && takeAck(reply);
-            if (!answered && silent.incrementAndGet() == asked.size()) {
+            boolean answered = failure == null && handleAck(reply);
+            if (!answered && unanswered.incrementAndGet() == selected.size()) {
               suspect(member);
             }
           });
@@ -199,36 +201,37 @@
   private void suspect(Member member) {
     table
         .suspect(member.identity())
-        .ifPresent(suspected -> executor.schedule(() -> table.declareDead(suspected), SUSPICION));
+        .ifPresent(
+            suspected -> executor.schedule(() -> table.declareDead(suspected), SUSPICION_TIMEOUT));
   }
 
-  /** Serves a membership message of a peer. */
+  /** Handles a membership message of a peer and returns the reply. */
   public CompletableFuture<PeerMessage> serve(PeerMessage message) {
     if (message instanceof Ping ping) {
-      take(ping.gossip());
-      return CompletableFuture.completedFuture(new Ack(ping.joining() ? wholeList() : gossip()));
+      apply(ping.gossip());
+      return CompletableFuture.completedFuture(new Ack(ping.joining() ? fullGossip() : gossip()));
     }
     PingFor pingFor = (PingFor) message;
-    take(pingFor.gossip());
-    return link.ask(pingFor.target(), new Ping(gossip(), false), PING_LIMIT);
+    apply(pingFor.gossip());
+    return link.ask(pingFor.target(), new Ping(gossip(), false), PING_TIMEOUT);
   }
 
-  private void take(Gossip gossip) {
+  private void apply(Gossip gossip) {
     table.merge(gossip.sender());
     gossip.members().forEach(table::merge);
-    gossip.leaving().forEach(this::takeHint);
+    gossip.leaving().forEach(this::handleHint);
     if (gossip.version() > version.getAsLong()) {
       onNewerVersion.accept(gossip);
     }
   }
 
-  private void takeHint(EndpointHint hint) {
+  private void handleHint(EndpointHint hint) {
     if (addHint(hint)) {
       onLeaving.accept(hint);
     }
   }
 
-  /** Passes on that an endpoint leaves. */
+  /** Gossips that an endpoint is about to leave. */
   public void announceLeaving(EndpointHint hint) {
     if (addHint(hint)) {
       gossipNow();
@@ -240,61 +243,61 @@
       return false;
     }
     hints.addFirst(new Hint(hint));
-    while (hints.size() > HINTS_KEPT) {
+    while (hints.size() > MAX_HINTS) {
       hints.removeLast();
     }
     return true;
   }
 
-  /** Tells a few members at once what is new here; they tell others in turn. */
+  /** Sends the pending updates to a few members immediately, without waiting for the next ping. */
   public void gossipNow() {
     List<Member> members = new ArrayList<>(table.present());
     Collections.shuffle(members, random);
     members.stream()
-        .limit(RUMOUR_FAN_OUT)
-        .forEach(member -> tell(member.address(), new Ping(gossip(), false)));
+        .limit(GOSSIP_FANOUT)
+        .forEach(member -> send(member.address(), new Ping(gossip(), false)));
   }
 
-  /** Tells that this node left, and who has its records. */
+  /** Announces that this node has left, and which node has taken over its records. */
   public void announceLeft(Optional<String> successor) {
-    table.selfIs(MemberStatus.LEFT, successor);
+    table.updateSelf(MemberStatus.LEFT, successor);
     gossipNow();
   }
 
-  private void tell(HostPort address, PeerMessage message) {
+  private void send(HostPort address, PeerMessage message) {
     Async.onDone(
-        link.ask(address, message, PING_LIMIT),
+        link.ask(address, message, PING_TIMEOUT),
         executor,
         (reply, failure) -> {
           if (failure == null) {
-            boolean unused = takeAck(reply);
+            boolean unused = handleAck(reply);
           }
         });
   }
 
   private Gossip gossip() {
     return new Gossip(
-        table.self(), version.getAsLong(), table.news(NEWS_PER_MESSAGE), hintsToTell());
+        table.self(), version.getAsLong(), table.nextUpdates(MAX_UPDATES_PER_MESSAGE), nextHints());
   }
 
-  private Gossip wholeList() {
-    return new Gossip(table.self(), version.getAsLong(), table.others(), hintsToTell());
+  private Gossip fullGossip() {
+    return new Gossip(table.self(), version.getAsLong(), table.others(), nextHints());
   }
 
-  private synchronized ImmutableList<EndpointHint> hintsToTell() {
-    ImmutableList.Builder<EndpointHint> told = ImmutableList.builder();
+  private synchronized ImmutableList<EndpointHint> nextHints() {
+    ImmutableList.Builder<EndpointHint> next = ImmutableList.builder();
     hints.stream()
-        .filter(hint -> hint.left > 0)
-        .limit(NEWS_PER_MESSAGE)
+        .filter(hint -> hint.remainingSends > 0)
+        .limit(MAX_UPDATES_PER_MESSAGE)
         .forEach(
             hint -> {
-              hint.left--;
-              told.add(hint.hint);
+              hint.remainingSends--;
+              next.add(hint.hint);
             });
-    return told.build();
+    return next.build();
   }
 
-  /** Returns the members. */
+  /** Returns the table of members. */
   public MemberTable table() {
     return table;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/membership/PeerException.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/membership/PeerException.java
@@ -1,6 +1,6 @@
 package org.vaneworks.coordination.membership;
 
-/** A request to a peer that got no reply. */
+/** Thrown when a request to a peer gets no reply. */
 public final class PeerException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
@@ -11,17 +11,17 @@
     this.mayHaveArrived = mayHaveArrived;
   }
 
-  /** Returns a failure of a request that never left this node. */
+  /** Returns an exception for a request that was not sent. */
   public static PeerException notSent(String message) {
     return new PeerException(message, false);
   }
 
-  /** Returns a failure of a request that may have arrived. */
+  /** Returns an exception for a request that may have arrived. */
   public static PeerException unanswered(String message) {
     return new PeerException(message, true);
   }
 
-  /** Returns whether the peer may have got the request. */
+  /** Returns whether the peer may have received the request. */
   public boolean mayHaveArrived() {
     return mayHaveArrived;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/membership/PeerMessage.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/membership/PeerMessage.java
@@ -11,29 +11,29 @@
 import org.vaneworks.coordination.once.RecordsPart;
 import org.vaneworks.state.HostPort;
 
-/** What nodes say to each other: requests and their replies. */
+/** A message between nodes: a request or a reply. */
 public sealed interface PeerMessage {
   /**
-   * Asks whether the receiver is alive, and brings news; answered by {@link Ack}.
+   * Checks whether the receiver is alive, and carries gossip; answered by {@link Ack}.
    *
-   * @param gossip news
-   * @param joining whether the sender is new and wants the whole member list
+   * @param gossip membership updates of the sender
+   * @param joining whether the sender is joining and requests the complete member list
    */
   record Ping(Gossip gossip, boolean joining) implements PeerMessage {
-    /** Checks that the gossip is given. */
+    /** Checks that the gossip is not null. */
     public Ping {
       checkNotNull(gossip);
     }
   }
 
   /**
-   * Asks the receiver to ping another; answered by {@link Ack} if that one answered.
+   * Asks the receiver to ping another node; answered by {@link Ack} if that node answered.
    *
-   * @param target whom to ping
-   * @param gossip news
+   * @param target address of the node to ping
+   * @param gossip membership updates of the sender
    */
   record PingFor(HostPort target, Gossip gossip) implements PeerMessage {
-    /** Checks that both parts are given. */
+    /** Checks that no component is null. */
     public PingFor {
       checkNotNull(target);
       checkNotNull(gossip);
@@ -43,129 +43,129 @@
   /**
    * Answers a ping.
    *
-   * @param gossip news
+   * @param gossip membership updates of the sender
    */
   record Ack(Gossip gossip) implements PeerMessage {
-    /** Checks that the gossip is given. */
+    /** Checks that the gossip is not null. */
     public Ack {
       checkNotNull(gossip);
     }
   }
 
-  /** Asks for the configuration head; answered by {@link Head}. */
+  /** Requests the configuration head; answered by {@link Head}. */
   record AskHead() implements PeerMessage {}
 
   /**
-   * Gives the configuration head in force.
+   * Returns the configuration head in force.
    *
-   * @param text the head's text; empty if none was read
+   * @param text the encoded head; empty if the sender has none
    */
   record Head(String text) implements PeerMessage {
-    /** Checks that the text is given. */
+    /** Checks that the text is not null. */
     public Head {
       checkNotNull(text);
     }
   }
 
   /**
-   * Asks for configuration pages; answered by {@link Pages}.
+   * Requests configuration pages; answered by {@link Pages}.
    *
-   * @param hashes which
+   * @param hashes hashes of the pages
    */
   record AskPages(ImmutableSet<String> hashes) implements PeerMessage {
-    /** Checks that the hashes are given. */
+    /** Checks that the hashes are not null. */
     public AskPages {
       checkNotNull(hashes);
     }
   }
 
   /**
-   * Gives configuration pages.
+   * Returns configuration pages.
    *
-   * @param pages texts by hash, of those that the sender has
+   * @param pages texts of the requested pages that the sender has, by hash
    */
   record Pages(ImmutableMap<String, String> pages) implements PeerMessage {
-    /** Checks that the pages are given. */
+    /** Checks that the pages are not null. */
     public Pages {
       checkNotNull(pages);
     }
   }
 
   /**
-   * Asks the holder of a record to run a request, or to give its answer; answered by {@link
-   * OnceReply} or {@link StillRunning}. Asking again joins the run or gets its outcome.
+   * Asks the holder of a record to execute a request; answered by {@link OnceReply} or {@link
+   * StillRunning}. If the request was already started, the reply refers to that execution.
    *
    * @param request the request
    */
   record RunOnce(OnceRequest request) implements PeerMessage {
-    /** Checks that the request is given. */
+    /** Checks that the request is not null. */
     public RunOnce {
       checkNotNull(request);
     }
   }
 
   /**
-   * Gives the outcome of a request that runs at most once.
+   * Returns the outcome of an at-most-once request.
    *
-   * @param outcome answer or refusal
+   * @param outcome the answer or refusal
    */
   record OnceReply(OnceOutcome outcome) implements PeerMessage {
-    /** Checks that the outcome is given. */
+    /** Checks that the outcome is not null. */
     public OnceReply {
       checkNotNull(outcome);
     }
   }
 
-  /** Says that a request that runs at most once is running; ask again for its outcome. */
+  /** Reports that an at-most-once request is still running; the sender may ask again later. */
   record StillRunning() implements PeerMessage {}
 
   /**
    * Asks the writer of a claim shard to claim keys; answered by {@link Claims}.
    *
-   * @param shard which shard
-   * @param claims the claims wanted
+   * @param shard index of the shard
+   * @param claims the requested claims
    */
   record AskClaims(int shard, ImmutableList<Claim> claims) implements PeerMessage {
-    /** Checks that the claims are given. */
+    /** Checks that the claims are not null. */
     public AskClaims {
       checkNotNull(claims);
     }
   }
 
   /**
-   * Says who holds the keys that were asked for, in the same order.
+   * Returns the holders of the requested keys, in the order of the request.
    *
    * @param held the claims in force
    */
   record Claims(ImmutableList<Claim> held) implements PeerMessage {
-    /** Checks that the claims are given. */
+    /** Checks that the claims are not null. */
     public Claims {
       checkNotNull(held);
     }
   }
 
   /**
-   * Hands part of a leaving node's records over; answered by {@link Accepted}.
+   * Transfers part of the records of a leaving node; answered by {@link Accepted}.
    *
    * @param part the part
    */
   record HandOver(RecordsPart part) implements PeerMessage {
-    /** Checks that the part is given. */
+    /** Checks that the part is not null. */
     public HandOver {
       checkNotNull(part);
     }
   }
 
-  /** Says that what was handed over was taken in. */
+  /** Confirms that the transferred records were stored. */
   record Accepted() implements PeerMessage {}
 
   /**
-   * Says that the request could not be served.
+   * Reports that the request could not be served.
    *
-   * @param why for people
+   * @param why human-readable cause
    */
   record Failed(String why) implements PeerMessage {
-    /** Checks that the reason is given. */
+    /** Checks that the cause is not null. */
     public Failed {
       checkNotNull(why);
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/membership/Rendezvous.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/membership/RendezvousHashing.java
@@ -7,16 +7,17 @@
 import java.util.stream.Stream;
 
 /**
- * Picks members for a task by rendezvous hashing.
+ * Assigns tasks to members by rendezvous hashing.
  *
- * <p>Nodes with the same view pick the same members; when a member goes, only its tasks move. Views
- * may differ, so a pick is for efficiency only.
+ * <p>Nodes with the same view compute the same assignment; when a member departs, only its tasks
+ * are reassigned. The views of two nodes may differ, so correctness must not depend on an
+ * assignment.
  */
-final class Rendezvous {
-  private Rendezvous() {}
+final class RendezvousHashing {
+  private RendezvousHashing() {}
 
-  /** Returns the members' identities, those that the task falls on first. */
-  static List<String> order(String task, Stream<String> identities) {
+  /** Returns the identities in descending order of their weight for the task. */
+  static List<String> rank(String task, Stream<String> identities) {
     return identities
         .sorted(Comparator.comparingLong((String identity) -> weight(task, identity)).reversed())
         .toList();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/membership/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/membership/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Which nodes of {@code vaneworksd} there are, and what they tell each other.
+ * Membership of {@code vaneworksd} nodes, and the messages that nodes exchange.
  *
- * <p>Decides who is live, suspected or gone, and which nodes a duty falls on. Input: heartbeats and
- * what they carry, the seeds. Asked by the node's wiring, by at-most-once delivery and by the
- * spread of configurations.
+ * <p>Determines which nodes are alive, suspected or gone, and which nodes perform a task, from
+ * pings, the gossip that they carry, and the seed addresses. Used by the wiring of the node, by
+ * at-most-once delivery and by configuration replication.
  */
 package org.vaneworks.coordination.membership;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/store/BudgetedStore.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/store/BudgetedStore.java
@@ -17,10 +17,10 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * The platform's store behind this node's budget of calls.
+ * A store decorator that limits the rate of this node's calls to the platform's store.
  *
- * <p>A call over the budget fails at once, so that no fault of a node, and no end of an outage, can
- * flood the store. Calls are counted by purpose. Thread-safe.
+ * <p>Calls over the budget fail immediately, so that neither a faulty node nor the recovery from an
+ * outage can overload the store. Calls are counted by purpose. Thread-safe.
  */
 public final class BudgetedStore implements PlatformStore {
   private final PlatformStore store;
@@ -29,7 +29,7 @@
   private final StoreBudget budget;
 
   @GuardedBy("this")
-  private double allowance;
+  private double availableCalls;
 
   @GuardedBy("this")
   private long refilledAt;
@@ -43,11 +43,11 @@
     this.clock = checkNotNull(clock);
     this.counters = checkNotNull(counters);
     this.budget = checkNotNull(budget);
-    this.allowance = budget.burst();
+    this.availableCalls = budget.burst();
     this.refilledAt = clock.currentTime(NANOSECONDS);
   }
 
-  /** Returns a store that passes on what the budget allows. */
+  /** Returns a decorator that forwards the calls within the budget to the given store. */
   public static BudgetedStore of(
       PlatformStore store, Executor clock, Counters counters, StoreBudget budget) {
     return new BudgetedStore(store, clock, counters, budget);
@@ -72,9 +72,9 @@
   }
 
   private <T> CompletableFuture<T> call(
-      StorePurpose purpose, String kind, Supplier<CompletableFuture<T>> work) {
-    String label = purpose.name().toLowerCase(Locale.ROOT) + "-" + kind;
-    if (!take()) {
+      StorePurpose purpose, String operation, Supplier<CompletableFuture<T>> work) {
+    String label = purpose.name().toLowerCase(Locale.ROOT) + "-" + operation;
+    if (!tryAcquire()) {
       counters.count(Metric.STORE_FAILURES, label + "-over-budget");
       return CompletableFuture.failedFuture(
           StoreException.withoutEffect("this node's budget of calls to the store is spent"));
@@ -83,26 +83,26 @@
     return Async.compose(
         work.get(),
         (value, failure) -> {
-          note(label, failure);
+          recordOutcome(label, failure);
           return failure == null
               ? CompletableFuture.completedFuture(value)
               : CompletableFuture.failedFuture(failure);
         });
   }
 
-  private synchronized boolean take() {
+  private synchronized boolean tryAcquire() {
     long now = clock.currentTime(NANOSECONDS);
-    double earned = (now - refilledAt) / 1e9 * budget.callsPerSecond();
-    allowance = Math.min(budget.burst(), allowance + earned);
+    double refill = (now - refilledAt) / 1e9 * budget.callsPerSecond();
+    availableCalls = Math.min(budget.burst(), availableCalls + refill);
     refilledAt = now;
-    if (allowance < 1) {
+    if (availableCalls < 1) {
       return false;
     }
-    allowance -= 1;
+    availableCalls -= 1;
     return true;
   }
 
-  private void note(String label, Throwable failure) {
+  private void recordOutcome(String label, Throwable failure) {
     boolean changed;
     synchronized (this) {
       changed = failing != (failure != null);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/store/PlatformStore.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/store/PlatformStore.java
@@ -5,27 +5,28 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's key-value service.
+ * The platform's key-value store.
  *
- * <p>Every failed future carries a {@link StoreException}.
+ * <p>A failed future carries a {@link StoreException}.
  */
 public interface PlatformStore {
-  /** Reads the newest value of a key; empty if it was never written. */
+  /** Reads the latest value of a key; empty if the key was never written. */
   CompletableFuture<Optional<StoreEntry>> read(String key, StorePurpose purpose);
 
   /**
-   * Writes a value if the key is still at the expected revision.
+   * Writes a value if the key is at the expected revision.
    *
-   * @param expectedRevision the revision that is replaced; 0 expects that there is none
+   * @param expectedRevision the revision to replace; 0 if the key must not exist yet
    * @return the new revision, or empty if the key is at another revision
    */
   CompletableFuture<Optional<Long>> compareAndSwap(
       String key, long expectedRevision, String value, StorePurpose purpose);
 
   /**
-   * Waits until a key's revision is over the given one.
+   * Waits until a key has a higher revision than the given one.
    *
-   * @return the newer entry, or empty once the wait is over
+   * @param wait how long to wait
+   * @return the newer entry, or empty if there is none after the wait
    */
   CompletableFuture<Optional<StoreEntry>> watch(String key, long afterRevision, Duration wait);
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/store/StoreBudget.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/store/StoreBudget.java
@@ -3,19 +3,19 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How often one node may call the platform's store.
+ * Rate limit of one node's calls to the platform's store.
  *
- * @param callsPerSecond in the long run
- * @param burst calls saved up at most; a fresh node reads all pages with them
+ * @param callsPerSecond sustained rate
+ * @param burst maximum number of calls in a burst; a node that starts needs it to read all pages
  */
 public record StoreBudget(double callsPerSecond, int burst) {
-  /** Checks the bounds. */
+  /** Checks that both limits are positive. */
   public StoreBudget {
     checkArgument(callsPerSecond > 0, "callsPerSecond must be positive: %s", callsPerSecond);
     checkArgument(burst > 0, "burst must be positive: %s", burst);
   }
 
-  /** Returns the budget that holds unless settings say otherwise. */
+  /** Returns the default budget. */
   public static StoreBudget defaults() {
     return new StoreBudget(20, 400);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/store/StoreEntry.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/store/StoreEntry.java
@@ -4,14 +4,14 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * A value of the platform's store.
+ * A key of the platform's store with its value.
  *
- * @param key its key
- * @param revision counts the writes to the key, from 1
- * @param value the text
+ * @param key the key
+ * @param revision number of writes to the key so far, at least 1
+ * @param value the value, as text
  */
 public record StoreEntry(String key, long revision, String value) {
-  /** Checks the revision. */
+  /** Checks that the value is not null and the revision is positive. */
   public StoreEntry {
     checkNotNull(value);
     checkArgument(revision > 0, "revision of %s must be positive: %s", key, revision);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/store/StoreException.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/store/StoreException.java
@@ -1,6 +1,6 @@
 package org.vaneworks.coordination.store;
 
-/** A failed call to the platform's store. */
+/** Thrown when a call to the platform's store fails. */
 public final class StoreException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
@@ -11,17 +11,17 @@
     this.mayHaveWritten = mayHaveWritten;
   }
 
-  /** Returns a failure that is known to have had no effect. */
+  /** Returns an exception for a call that had no effect. */
   public static StoreException withoutEffect(String message) {
     return new StoreException(message, false);
   }
 
-  /** Returns a failure after which a write may or may not have taken effect. */
+  /** Returns an exception for a call whose write may have taken effect. */
   public static StoreException unknownEffect(String message) {
     return new StoreException(message, true);
   }
 
-  /** Returns whether a write may have taken effect. */
+  /** Returns whether the write may have taken effect. */
   public boolean mayHaveWritten() {
     return mayHaveWritten;
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/store/StorePages.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/store/StorePageSource.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.CompletableFuture;
 import org.vaneworks.state.ConfigurationHead;
 
-/** Reads pages from the platform's store, one call each. */
-final class StorePages implements PageSource {
+/** Reads configuration pages from the platform's store, with one call per page. */
+final class StorePageSource implements PageSource {
   private final PlatformStore store;
 
-  StorePages(PlatformStore store) {
+  StorePageSource(PlatformStore store) {
     this.store = store;
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/store/StorePurpose.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/store/StorePurpose.java
@@ -1,6 +1,6 @@
 package org.vaneworks.coordination.store;
 
-/** What a call to the platform's store is for; labels the counters. */
+/** Purpose of a call to the platform's store; used as a metric label. */
 public enum StorePurpose {
   HEAD,
   PAGE,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/store/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/store/package-info.java
@@ -1,9 +1,8 @@
 /**
- * What the product's own nodes keep in the platform's store, and how much they may ask of it.
+ * Access to the platform's key-value store for the nodes of {@code vaneworksd}, within a budget of
+ * calls per node ({@code BudgetedStore}).
  *
- * <p>Decides nothing but when a call is over budget ({@code BudgetedStore}): every purpose has a
- * share, and a call beyond it fails at once. Called by configuration, claims and membership; the
- * implementation over HTTP is in {@code transport}. The store of a forwarding node is another, in
- * {@code coordination.shared}.
+ * <p>Used for the configuration, claims and membership. The HTTP client is in {@code transport}.
+ * Forwarding nodes use the interface in {@code coordination.shared} instead.
  */
 package org.vaneworks.coordination.store;
