--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/NodeLeaseTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/NodeLeaseTest.java
@@ -35,16 +35,16 @@
   private final InMemorySharedStore store = new InMemorySharedStore(clock);
   private final List<NodeLease> nodes = new ArrayList<>();
 
-  private NodeLease node(SharedStore reached, String box, String run) {
-    return node(reached, box, run, new BoxClock(clock));
+  private NodeLease node(SharedStore nodeStore, String box, String run) {
+    return node(nodeStore, box, run, new BoxClock(clock));
   }
 
-  private NodeLease node(SharedStore reached, String box, String run, BoxClock boxClock) {
+  private NodeLease node(SharedStore nodeStore, String box, String run, BoxClock boxClock) {
     NodeLease lease =
         NodeLease.create(
             clock,
             new Random(nodes.size()),
-            reached,
+            nodeStore,
             boxClock.suspensionDetector(),
             PREFIX,
             box,
@@ -54,7 +54,7 @@
     PrefixFollower.create(
             clock,
             new Random(9),
-            reached,
+            nodeStore,
             Counters.in(new SimpleMeterRegistry()),
             PREFIX,
             () -> Duration.ofMillis(1500),
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationEditor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationEditor.java
@@ -39,8 +39,8 @@
  * Changes the configuration in the platform's store; used by the command line.
  *
  * <p>A change takes effect by one compare-and-swap of the head, after its immutable pages have been
- * written. The complete result is validated against the same head that the swap replaces.
- * If the response to the swap is lost, the head is read back and its history searched for the id of the
+ * written. The complete result is validated against the same head that the swap replaces. If the
+ * response to the swap is lost, the head is read back and its history searched for the id of the
  * change. Retrying the swap is safe, because it can succeed at most once.
  */
 public final class ConfigurationEditor {
@@ -187,7 +187,7 @@
       StoredConfiguration original,
       StoredConfiguration base,
       int attemptNumber) {
-    ImmutableMap<Integer, ConfigurationPage> pages = applyTo(base, change);
+    ImmutableMap<Integer, ConfigurationPage> pages = pagesAfter(base, change);
     long version = base.head().version() + 1;
     // Validates the complete result before anything is written.
     var unused = snapshot(version, pages);
@@ -329,7 +329,7 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  private static ImmutableMap<Integer, ConfigurationPage> applyTo(
+  private static ImmutableMap<Integer, ConfigurationPage> pagesAfter(
       StoredConfiguration base, ConfigurationChange change) {
     Map<ResourceKey, Template> templates = new TreeMap<>();
     Map<ResourceKey, Workspace> workspaces = new TreeMap<>();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/membership/Membership.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/membership/Membership.java
@@ -46,6 +46,7 @@
   private static final int SENDS_PER_HINT = 12;
   private static final int GOSSIP_FANOUT = 3;
 
+  /** A hint with the number of times that it is still to be sent. */
   private static final class Hint {
     private final EndpointHint hint;
     private int remainingSends = SENDS_PER_HINT;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/NodeLease.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/NodeLease.java
@@ -222,7 +222,7 @@
     long oldest = clock.currentTime(NANOSECONDS) - UNLISTED_GRACE_PERIOD.toNanos();
     peers().forEach(peer -> unlisted.remove(peer.box()));
     unlisted.remove(boxOf(node));
-    unlisted.values().removeIf(each -> each.removedAt() < oldest);
+    unlisted.values().removeIf(node -> node.removedAt() < oldest);
     return Stream.concat(peers().stream(), unlisted.values().stream().map(Unlisted::peer))
         .collect(ImmutableList.toImmutableList());
   }
