--- a/vaneworks/src/main/java/org/vaneworks/coordination/Node.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/Node.java
@@ -144,7 +144,7 @@
   }
 
   private void noteBoxes(ImmutableList<Box> boxes) {
-    membership.seeds(
+    membership.updateSeeds(
         boxes.stream()
             .filter(box -> box.role() == Box.Role.ENTRY && !box.leaving())
             .map(Box::address)
--- a/vaneworks/src/main/java/org/vaneworks/coordination/membership/Membership.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/membership/Membership.java
@@ -115,7 +115,7 @@
   }
 
   /** Sets the node addresses listed by the platform. */
-  public synchronized void seeds(Set<HostPort> addresses) {
+  public synchronized void updateSeeds(Set<HostPort> addresses) {
     seeds = new HashSet<>(addresses);
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/SuspensionDetector.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/SuspensionDetector.java
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Returns the time of the last possible suspension, in nanoseconds on the executor's clock; since
-   * then that clock has run without interruption.
+   * Returns the time since which the executor's clock has run without a possible suspension, in
+   * nanoseconds on that clock.
    *
    * <p>Reads both clocks. Must be called immediately before each decision that depends on an age,
    * because the box may have been suspended since the previous call.
