--- a/vaneworks/src/main/java/org/vaneworks/coordination/ClaimService.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/ClaimService.java
@@ -73,7 +73,7 @@
   /** Claims a key; returns the claim that holds it: this one or an earlier one. */
   CompletableFuture<Claim> claim(Claim claim) {
     int shard = shardOf(claim.key());
-    String writer = members.pick("claims/" + shard).get(0);
+    String writer = members.rank("claims/" + shard).get(0);
     Optional<Member> peer =
         members.find(writer).filter(member -> !writer.equals(members.self().identity()));
     if (peer.isEmpty()) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/ConfigurationReplicator.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/ConfigurationReplicator.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import org.vaneworks.coordination.concurrent.Async;
-import org.vaneworks.coordination.configuration.ConfigurationBoard;
+import org.vaneworks.coordination.configuration.ActiveConfiguration;
 import org.vaneworks.coordination.membership.Gossip;
 import org.vaneworks.coordination.membership.PeerLink;
 import org.vaneworks.coordination.membership.PeerMessage;
@@ -39,13 +39,13 @@
   private static final int PAGES_PER_MESSAGE = 32;
 
   private final Executor executor;
-  private final ConfigurationBoard configuration;
+private final ActiveConfiguration configuration;
   private final PeerLink link;
 
   @GuardedBy("this")
   private long fetchingVersion;
 
-  ConfigurationReplicator(Executor executor, ConfigurationBoard configuration, PeerLink link) {
+ConfigurationReplicator(Executor executor,ActiveConfiguration configuration,PeerLink link){
     this.executor = checkNotNull(executor);
     this.configuration = checkNotNull(configuration);
     this.link = checkNotNull(link);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/Node.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/Node.java
@@ -9,7 +9,7 @@
 import org.vaneworks.coordination.admission.AdmissionControl;
 import org.vaneworks.coordination.boxes.Box;
 import org.vaneworks.coordination.concurrent.Async;
-import org.vaneworks.coordination.configuration.ConfigurationBoard;
+import org.vaneworks.coordination.configuration.ActiveConfiguration;
 import org.vaneworks.coordination.configuration.ConfigurationFollower;
 import org.vaneworks.coordination.endpoints.EndpointHint;
 import org.vaneworks.coordination.endpoints.EndpointMonitor;
@@ -49,7 +49,7 @@
   private final NodeDependencies dependencies;
   private final Lifecycle lifecycle = Lifecycle.create();
   private final Membership membership;
-  private final ConfigurationBoard configuration;
+private final ActiveConfiguration configuration;
   private final ConfigurationFollower follower;
   private final ConfigurationReplicator replicator;
   private final EndpointTable table;
@@ -61,24 +61,16 @@
     this.dependencies = dependencies;
     PlatformStore store =
         BudgetedStore.of(
-            dependencies.store(),
-            dependencies.executor(),
-            dependencies.counters(),
-            settings.limits().store());
-    this.configuration =
-        ConfigurationBoard.create(
-            dependencies.executor(), dependencies.configurationFormat(), PageSource.of(store));
+dependencies.store(),dependencies.executor(),dependencies.counters(),settings.limits().store());
+this.configuration=ActiveConfiguration.create(dependencies.executor(),dependencies.configurationFormat(),PageSource.of(store));
     this.membership = createMembership();
     MemberTable members = membership.table();
     this.follower =
         ConfigurationFollower.create(
             dependencies.executor(),
             store,
-            configuration,
-            () -> members.isPickedHere("head", HEAD_WATCHERS),
-            dependencies.random());
-    this.replicator =
-        new ConfigurationReplicator(dependencies.executor(), configuration, dependencies.peers());
+configuration,()->members.isAssignedHere("head",HEAD_WATCHERS),dependencies.random());
+this.replicator=new ConfigurationReplicator(dependencies.executor(),configuration,dependencies.peers());
     this.table =
         EndpointTable.create(
             dependencies.executor(),
@@ -91,10 +83,8 @@
             dependencies.boxes(),
             dependencies.endpoints(),
             table,
-            dependencies.random(),
-            () -> members.isPickedHere("boxes", BOX_LIST_READERS),
-            this::updateSeeds);
-    RequestWiring wiring = new RequestWiring(settings, dependencies, table, members::size);
+dependencies.random(),()->members.isAssignedHere("boxes",BOX_LIST_READERS),this::updateSeeds);
+RequestWiring wiring=new RequestWiring(settings,dependencies,table,members::size);
     RoutePlanner planner = wiring.planner();
     AdmissionControl admission = wiring.admission(planner);
     this.dispatcher =
@@ -127,13 +117,13 @@
   private void registerListeners(AdmissionControl admission) {
     configuration.onChange(
         snapshot -> {
-          advanceToReady();
-          membership.tellSome();
+advanceToReady();
+membership.gossipNow();
         });
     membership.onNewerVersion(replicator::fetch);
     membership.onLeaving(
-        hint -> table.find(hint.endpoint()).ifPresent(state -> table.markLeaving(state, "a peer")));
-    table.onLeaving(state -> membership.tellLeaving(new EndpointHint(state.endpoint().id())));
+hint->table.find(hint.endpoint()).ifPresent(state->table.markLeaving(state,"a peer")));
+table.onLeaving(state->membership.announceLeaving(new EndpointHint(state.endpoint().id())));
     monitor.onUsable(admission::recheck);
   }
 
@@ -151,8 +141,8 @@
     }
   }
 
-  private void updateSeeds(ImmutableList<Box> boxes) {
-    membership.seeds(
+private void updateSeeds(ImmutableList<Box>boxes){
+membership.updateSeeds(
         boxes.stream()
             .filter(box -> box.role() == Box.Role.ENTRY && !box.leaving())
             .map(Box::address)
@@ -200,18 +190,11 @@
     CompletableFuture<Void> gracefulStop =
         Async.delay(dependencies.executor(), times.balancerLag())
             .thenCompose(lagOver -> refuseAndDrain())
-            .thenCompose(drained -> dispatcher.once().handOver())
-            .thenAccept(membership::tellLeft);
-    CompletableFuture<Void> completedOrTimedOut = new CompletableFuture<>();
-    var timer =
-        dependencies
-            .executor()
-            .schedule(() -> completedOrTimedOut.complete(null), times.deadline());
-    Async.onDone(
-        gracefulStop,
-        dependencies.executor(),
-        (done, failure) -> completedOrTimedOut.complete(null));
-    return completedOrTimedOut.thenApply(
+.thenCompose(drained->dispatcher.once().handOver()).thenAccept(membership::announceLeft);
+CompletableFuture<Void>completedOrTimedOut=new CompletableFuture<>();
+var timer=dependencies.executor().schedule(()->completedOrTimedOut.complete(null),times.deadline());
+Async.onDone(gracefulStop,dependencies.executor(),(done,failure)->completedOrTimedOut.complete(null));
+return completedOrTimedOut.thenApply(
         done -> {
           timer.cancel();
           return finishStop();
@@ -253,8 +236,8 @@
   }
 
   /** Returns the holder of the active configuration. */
-  public ConfigurationBoard configuration() {
-    return configuration;
+public ActiveConfiguration configuration(){
+return configuration;
   }
 
   /** Returns the known endpoints. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/RequestWiring.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/RequestWiring.java
@@ -6,7 +6,7 @@
 import org.vaneworks.coordination.admission.AdmissionCost;
 import org.vaneworks.coordination.admission.AdmissionPolicy;
 import org.vaneworks.coordination.admission.ConcurrencyLimit;
-import org.vaneworks.coordination.configuration.ConfigurationBoard;
+import org.vaneworks.coordination.configuration.ActiveConfiguration;
 import org.vaneworks.coordination.endpoints.EndpointTable;
 import org.vaneworks.coordination.membership.MemberTable;
 import org.vaneworks.coordination.once.OnceLimits;
@@ -59,7 +59,7 @@
 
   RequestDispatcher dispatcher(
       Lifecycle lifecycle,
-      ConfigurationBoard configuration,
+ActiveConfiguration configuration,
       RoutePlanner planner,
       AdmissionControl admission,
       PlatformStore store,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
@@ -4,7 +4,7 @@
 
 import io.servicetalk.concurrent.Cancellable;
 import java.time.Duration;
-import org.vaneworks.coordination.concurrent.OwnDelay;
+import org.vaneworks.coordination.concurrent.EventLoopDelay;
 import org.vaneworks.coordination.relay.EnginePath;
 import org.vaneworks.coordination.relay.PathPart;
 import org.vaneworks.telemetry.Metric;
@@ -150,11 +150,11 @@
     if (selector.path().isEmpty()) {
       return;
     }
-    boolean stalled = now() - lastProgress >= stallTimeout().toNanos();
-    if (stalled && OwnDelay.excuses(delay, ignoredStalls)) {
-      ignoredStalls++;
+boolean stalled=now()-lastProgress>=stallTimeout().toNanos();
+if(stalled&&EventLoopDelay.explainsSilence(delay,ignoredStalls)){
+ignoredStalls++;
       context.counters().count(Metric.UNCOUNTED_SILENCES, "look");
-      checkAfter(OwnDelay.READ_FIRST.toNanos());
+      checkAfter(EventLoopDelay.SOCKET_READ_GRACE.toNanos());
       return;
     }
     ignoredStalls = 0;
