--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/DaemonSettings.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/DaemonSettings.java
@@ -54,7 +54,7 @@
     FieldReader fields = FieldReader.collecting(documents.isEmpty() ? null : documents.get(0));
     DaemonSettings settings = read(fields);
     fields.rejectUnknown();
-    fields.finish();
+    fields.throwIfInvalid();
     return settings;
   }
 
--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntrySettings.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntrySettings.java
@@ -59,7 +59,7 @@
     FieldReader fields = FieldReader.collecting(documents.isEmpty() ? null : documents.get(0));
     EntrySettings settings = read(fields);
     fields.rejectUnknown();
-    fields.finish();
+    fields.throwIfInvalid();
     return settings;
   }
 
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/EngineServer.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/EngineServer.java
@@ -57,7 +57,7 @@
 
   private CompletableFuture<Reply> importSession(Call call) {
     JsonNode node = Json.parse(call.body());
-    core.importSession(EngineJson.readImportName(node), EngineJson.readImportExport(node));
+    core.importSession(EngineJson.readImportTarget(node), EngineJson.readImportSource(node));
     return Reply.ok("");
   }
 
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/LoadMain.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/LoadMain.java
@@ -138,7 +138,7 @@
         return;
       }
     }
-    sink.failed(Refusal.before(Reason.HOME_LOST, "no node can be connected to"));
+    sink.failed(Refusal.nothingSent(Reason.HOME_LOST, "no node can be connected to"));
   }
 
   private HttpRequest request(LoadProfile.Arrival arrival, String node) {
@@ -189,7 +189,7 @@
     for (Reason reason : Reason.values()) {
       if (reason.code().equals(code)) {
         return problem.path("verdict").asText().equals("NOT_RUN")
-            ? Refusal.before(reason, "")
+            ? Refusal.nothingSent(reason, "")
             : Refusal.mayHaveRun(reason, "");
       }
     }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelEngine.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelEngine.java
@@ -21,7 +21,7 @@
 
   ModelEngine(ModelProfile model, AcceleratorProfile accelerator, LayerRange held) {
     this.accelerator = accelerator;
-    this.room = model.roomTokenLayers(accelerator, held.size());
+    this.room = model.tokenLayerCapacity(accelerator, held.size());
   }
 
   AcceleratorProfile accelerator() {
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineArrivals.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineArrivals.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.vaneworks.state.StatedLimit;
+import org.vaneworks.state.AdvertisedRateLimit;
 
 /**
  * The requests that reached one engine, and which nodes were told how many it takes.
@@ -24,19 +24,19 @@
   private record Arrival(long atMillis, boolean fromNodeThatWasTold) {}
 
   /** What the engine says from some time on. */
-  private record Statement(long fromMillis, StatedLimit limit) {}
+  private record Statement(long fromMillis, AdvertisedRateLimit limit) {}
 
   private final List<Arrival> arrivals = new ArrayList<>();
   private final List<Statement> statements =
-      new ArrayList<>(List.of(new Statement(0, StatedLimit.none())));
+      new ArrayList<>(List.of(new Statement(0, AdvertisedRateLimit.none())));
   private final Map<Integer, Long> toldAt = new HashMap<>();
 
-  StatedLimit limit() {
+  AdvertisedRateLimit limit() {
     return statements.get(statements.size() - 1).limit();
   }
 
   /** Names a limit from now on, or none any more. */
-  void limit(StatedLimit stated, long atMillis) {
+  void limit(AdvertisedRateLimit stated, long atMillis) {
     if (!stated.isLimited()) {
       toldAt.clear();
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/LimitedEngineSchedulesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/LimitedEngineSchedulesTest.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.vaneworks.state.StatedLimit;
+import org.vaneworks.state.AdvertisedRateLimit;
 import org.vaneworks.tests.Schedules;
 
 /**
@@ -57,8 +57,9 @@
       EngineArrivals engine = fleet.arrivalsAt(random.nextInt(engines));
       int node = random.nextInt(nodes);
       switch (random.nextInt(12)) {
-        case 0, 1 -> engine.limit(StatedLimit.of(random.nextInt(120) / 10.0), fleet.nowMillis());
-        case 2 -> engine.limit(StatedLimit.none(), fleet.nowMillis());
+        case 0, 1 ->
+            engine.limit(AdvertisedRateLimit.of(random.nextInt(120) / 10.0), fleet.nowMillis());
+        case 2 -> engine.limit(AdvertisedRateLimit.none(), fleet.nowMillis());
         case 3 -> fleet.restartNode(node);
         case 4 -> fleet.reportsAreLost = true;
         case 5, 6 -> fleet.reportsAreLost = false;
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/LimitedEngineTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/LimitedEngineTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
+import org.vaneworks.state.AdvertisedRateLimit;
 import org.vaneworks.state.Reason;
 import org.vaneworks.state.Refusal;
-import org.vaneworks.state.StatedLimit;
 import org.vaneworks.state.Verdict;
 import org.vaneworks.tests.forwarding.Got;
 
@@ -53,7 +53,7 @@
     return fleet.arrivalsAt(LIMITED);
   }
 
-  private void engineSays(StatedLimit limit) {
+  private void engineSays(AdvertisedRateLimit limit) {
     limited().limit(limit, fleet.nowMillis());
   }
 
@@ -64,16 +64,16 @@
   @Test
   void engineGetsNoMoreThanItSaysFromAllNodesTogether() {
     ask(8);
-    engineSays(StatedLimit.of(LIMIT));
+    engineSays(AdvertisedRateLimit.of(LIMIT));
     ask(12);
     assertEquals(0, limited().excess(fleet.nowMillis()));
   }
 
   @Test
   void secondEngineThatNamesItsLimitLaterGetsNoMoreEither() {
-    engineSays(StatedLimit.of(LIMIT));
+    engineSays(AdvertisedRateLimit.of(LIMIT));
     ask(12);
-    fleet.arrivalsAt(2).limit(StatedLimit.of(4.1), fleet.nowMillis());
+    fleet.arrivalsAt(2).limit(AdvertisedRateLimit.of(4.1), fleet.nowMillis());
     ask(12);
     assertEquals(0, limited().excess(fleet.nowMillis()));
     assertEquals(0, fleet.arrivalsAt(2).excess(fleet.nowMillis()));
@@ -82,7 +82,7 @@
   @Test
   void engineIsStillUsedWhileOthersHaveRoom() {
     fleet = new SharedEngines(NODES, ENGINES, ENGINES, 7);
-    engineSays(StatedLimit.of(LIMIT));
+    engineSays(AdvertisedRateLimit.of(LIMIT));
     ask(5);
     long from = fleet.nowMillis();
     ask(20);
@@ -93,7 +93,7 @@
   @Test
   void noRequestIsRefusedWhileOtherEnginesHaveRoom() {
     ask(2);
-    engineSays(StatedLimit.of(LIMIT));
+    engineSays(AdvertisedRateLimit.of(LIMIT));
     ask(20);
     assertEquals(0, refusals());
   }
@@ -102,9 +102,9 @@
   void allNodesUseTheEngineAsBeforeOnceItNamesNoLimit() {
     ask(10);
     long usual = limited().between(fleet.nowMillis() - 5000, fleet.nowMillis());
-    engineSays(StatedLimit.of(LIMIT));
+    engineSays(AdvertisedRateLimit.of(LIMIT));
     ask(10);
-    engineSays(StatedLimit.none());
+    engineSays(AdvertisedRateLimit.none());
     ask(3);
     long from = fleet.nowMillis();
     ask(5);
@@ -116,7 +116,7 @@
   void boundHoldsAlsoWhereNodesDoNotHearOfEachOther() {
     fleet.reportsAreLost = true;
     ask(5);
-    engineSays(StatedLimit.of(LIMIT));
+    engineSays(AdvertisedRateLimit.of(LIMIT));
     ask(60);
     assertEquals(0, limited().excess(fleet.nowMillis()));
     assertEquals(0, refusals());
@@ -124,7 +124,7 @@
 
   @Test
   void boundHoldsWhileNodesStartAgain() {
-    engineSays(StatedLimit.of(LIMIT));
+    engineSays(AdvertisedRateLimit.of(LIMIT));
     ask(5);
     for (int node = 0; node < NODES; node++) {
       fleet.restartNode(node);
@@ -138,7 +138,7 @@
   void boundHoldsIfTheEntryOfTheEngineLapsesAndComesBack() {
     fleet.reportsAreLost = true;
     ask(3);
-    engineSays(StatedLimit.of(0.5));
+    engineSays(AdvertisedRateLimit.of(0.5));
     ask(6);
     for (int i = 0; i < 6; i++) {
       fleet.listsItselfAgain(LIMITED, 300);
@@ -152,7 +152,7 @@
     nodes = 18;
     fleet = new SharedEngines(nodes, 6, 3, 7);
     ask(5, 125);
-    engineSays(StatedLimit.of(2));
+    engineSays(AdvertisedRateLimit.of(2));
     ask(30, 125);
     assertEquals(0, limited().excess(fleet.nowMillis()));
     long got = limited().between(fleet.nowMillis() - 20_000, fleet.nowMillis());
@@ -164,7 +164,7 @@
     nodes = 120;
     fleet = new SharedEngines(nodes, 4, 7);
     ask(5, 250);
-    engineSays(StatedLimit.of(1.5));
+    engineSays(AdvertisedRateLimit.of(1.5));
     ask(30, 250);
     assertEquals(0, limited().excess(fleet.nowMillis()));
     long got = limited().between(fleet.nowMillis() - 20_000, fleet.nowMillis());
@@ -174,10 +174,10 @@
   @Test
   void engineThatTakesNothingIsAskedNowAndThen() {
     ask(3);
-    engineSays(StatedLimit.of(0));
+    engineSays(AdvertisedRateLimit.of(0));
     ask(20);
     assertEquals(0, limited().excess(fleet.nowMillis()));
-    engineSays(StatedLimit.none());
+    engineSays(AdvertisedRateLimit.none());
     ask(15);
     long got = limited().between(fleet.nowMillis() - 3000, fleet.nowMillis());
     assertTrue(got > A_SECOND / 2, got + " requests in 3 s");
@@ -187,7 +187,7 @@
   void onlyEngineIsGivenNearlyAllThatItTakes() {
     fleet = new SharedEngines(NODES, 1, 7);
     ask(3);
-    fleet.arrivalsAt(0).limit(StatedLimit.of(LIMIT), fleet.nowMillis());
+    fleet.arrivalsAt(0).limit(AdvertisedRateLimit.of(LIMIT), fleet.nowMillis());
     ask(40);
     assertEquals(0, fleet.arrivalsAt(0).excess(fleet.nowMillis()));
     long got = fleet.arrivalsAt(0).between(fleet.nowMillis() - 20_000, fleet.nowMillis());
@@ -199,7 +199,7 @@
     fleet = new SharedEngines(NODES, 1, 7);
     ask(3);
     // One node has all of it.
-    fleet.arrivalsAt(0).limit(StatedLimit.of(0.9), fleet.nowMillis());
+    fleet.arrivalsAt(0).limit(AdvertisedRateLimit.of(0.9), fleet.nowMillis());
     ask(3);
     int refused = 0;
     for (int node = 0; node < NODES; node++) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
@@ -54,11 +54,11 @@
 import org.vaneworks.coordination.shared.PrefixRouter;
 import org.vaneworks.coordination.shared.StoredItem;
 import org.vaneworks.protocol.LoadCodec;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
 import org.vaneworks.state.RequestContent;
-import org.vaneworks.state.StatedBackoff;
+import org.vaneworks.state.RequestedBackoff;
 import org.vaneworks.state.StorePosition;
 import org.vaneworks.state.entry.CallKind;
 import org.vaneworks.state.entry.Caller;
@@ -282,8 +282,7 @@
       if (holdsNothing()) {
         request.sent.end(SendRecord.End.TURNED_AWAY);
         Head head =
-            new Head(
-                MISDIRECTED, true, true, Optional.of(endpoint.address()), EndpointStatement.NONE);
+            new Head(MISDIRECTED, true, true, Optional.of(endpoint.address()), EndpointSignal.NONE);
         request.tell(() -> request.listener.head(head));
         return;
       }
@@ -303,26 +302,26 @@
     }
 
     private Head turnedAway(int node, boolean heard) {
-      StatedBackoff stated = StatedBackoff.none();
+      RequestedBackoff stated = RequestedBackoff.none();
       if (turnsAwayForMillis.getAsInt() > 0) {
         if (heard) {
           backoffs.asked(node, nowMillis(), turnsAwayForMillis.getAsInt());
         }
-        stated = StatedBackoff.of(Duration.ofMillis(turnsAwayForMillis.getAsInt()));
+        stated = RequestedBackoff.of(Duration.ofMillis(turnsAwayForMillis.getAsInt()));
       }
       return Head.turnedAway(answer(node, heard).withBackoff(stated));
     }
 
     /** Returns what the engine says of itself on each answer to a node, beside a backoff. */
-    private EndpointStatement answer(int node, boolean heard) {
-      EndpointStatement said = EndpointStatement.NONE.withLimit(arrivals.limit());
+    private EndpointSignal answer(int node, boolean heard) {
+      EndpointSignal said = EndpointSignal.NONE.withLimit(arrivals.limit());
       if (!drain.isLeaving()) {
         return said;
       }
       if (heard) {
         drain.answered(node, nowMillis());
       }
-      return said.thatLeaves();
+      return said.asLeaving();
     }
 
     private void begin(Running request) {
@@ -605,7 +604,7 @@
     private final Forwarder forwarder;
     private final LoadExchange exchange;
     private final int place;
-    private BiConsumer<FleetEndpoint, EndpointStatement> statements = (engine, said) -> {};
+    private BiConsumer<FleetEndpoint, EndpointSignal> statements = (engine, said) -> {};
 
     /** Makes another run of the node at a place. */
     Node(int place) {
@@ -692,7 +691,7 @@
     }
 
     @Override
-    public void onStatement(BiConsumer<FleetEndpoint, EndpointStatement> listener) {
+    public void onStatement(BiConsumer<FleetEndpoint, EndpointSignal> listener) {
       statements = listener;
     }
 
@@ -704,7 +703,7 @@
       Engine engine = engines.get(endpoint.address());
       engine.backoffs.called(place, nowMillis());
       boolean turnedAway = engine.turnsAwayForMillis.isPresent();
-      EndpointStatement said =
+      EndpointSignal said =
           turnedAway ? engine.turnedAway(place, true).statement() : engine.answer(place, true);
       statements.accept(endpoint, said);
       return turnedAway;
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/ConfigurationSchedule.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/ConfigurationSchedule.java
@@ -156,7 +156,7 @@
         continue;
       }
       Throwable why = change.handle((done, failure) -> Async.causeOf(failure)).join();
-      if (why instanceof ConflictException && head.remembers("change-" + (i + 2))) {
+      if (why instanceof ConflictException && head.historyContains("change-" + (i + 2))) {
         problems.add("change-" + (i + 2) + " is in force, but was reported as in conflict");
       }
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/FleetTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/FleetTest.java
@@ -16,7 +16,7 @@
 import org.vaneworks.coordination.fleet.FleetEndpoint;
 import org.vaneworks.coordination.fleet.Incarnation;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
 import org.vaneworks.state.StorePosition;
@@ -76,8 +76,8 @@
     assertEquals(0, usable());
   }
 
-  private static EndpointStatement saysThatItLeaves() {
-    return EndpointStatement.NONE.thatLeaves();
+  private static EndpointSignal saysThatItLeaves() {
+    return EndpointSignal.NONE.asLeaving();
   }
 
   /** Guards against an announced end that only the list is believed to tell. */
@@ -173,7 +173,7 @@
   void answerWithoutTheWordEndsNoAnnouncement() {
     fleet.put(endpoint("a", false));
     fleet.statements().answered(fleet.all().get(0), saysThatItLeaves());
-    fleet.statements().answered(fleet.all().get(0), EndpointStatement.NONE);
+    fleet.statements().answered(fleet.all().get(0), EndpointSignal.NONE);
     assertEquals(0, usable());
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/HealthWatchTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/HealthWatchTest.java
@@ -28,11 +28,11 @@
 import org.vaneworks.coordination.fleet.RepathOutcome;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 import org.vaneworks.coordination.fleet.TurnedAwayException;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.AdvertisedRateLimit;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
-import org.vaneworks.state.StatedBackoff;
-import org.vaneworks.state.StatedLimit;
+import org.vaneworks.state.RequestedBackoff;
 import org.vaneworks.state.StorePosition;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
@@ -279,18 +279,18 @@
     pace = 3;
     health.checkPace(engine);
     clock.advance(Duration.ofMillis(100));
-    fleet.statements().limits().heard(engine, StatedLimit.of(2));
+    fleet.statements().limits().heard(engine, AdvertisedRateLimit.of(2));
     int before = asked;
     clock.advance(Duration.ofSeconds(5));
     assertEquals(before, asked);
-    fleet.statements().limits().heard(engine, StatedLimit.none());
+    fleet.statements().limits().heard(engine, AdvertisedRateLimit.none());
     clock.advance(Duration.ofSeconds(2));
     assertTrue(asked > before, asked + " questions");
   }
 
   private void wantsNoCalls(int seconds) {
-    StatedBackoff backoff = StatedBackoff.of(Duration.ofSeconds(seconds));
-    fleet.statements().answeredCall(engine.endpoint(), EndpointStatement.NONE.withBackoff(backoff));
+    RequestedBackoff backoff = RequestedBackoff.of(Duration.ofSeconds(seconds));
+    fleet.statements().answeredCall(engine.endpoint(), EndpointSignal.NONE.withBackoff(backoff));
   }
 
   @Test
@@ -349,7 +349,7 @@
 
   @Test
   void questionCountsAgainstWhatAnEngineTakes() {
-    fleet.statements().limits().heard(engine, StatedLimit.of(2));
+    fleet.statements().limits().heard(engine, AdvertisedRateLimit.of(2));
     engine.startLimit().share(2, 1, clock.currentTime(NANOSECONDS));
     clock.advance(Duration.ofMillis(600));
     assertTrue(engine.usable(clock.currentTime(NANOSECONDS)));
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
@@ -11,7 +11,7 @@
 import org.vaneworks.coordination.fleet.FleetEndpoint;
 import org.vaneworks.coordination.fleet.RepathOutcome;
 import org.vaneworks.coordination.forwarding.ForwardingLimits;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.Reason;
 import org.vaneworks.state.Verdict;
@@ -137,9 +137,7 @@
   void answerToAnotherRequestNeverReachesTheCaller() {
     node.replica(1);
     Got got = node.ask("/unsafe/x");
-    node.last()
-        .listener
-        .head(new Head(200, false, false, Optional.empty(), EndpointStatement.NONE));
+    node.last().listener.head(new Head(200, false, false, Optional.empty(), EndpointSignal.NONE));
     assertTrue(node.last().cancelled);
     assertTrue(got.status.isEmpty());
     assertEquals(Verdict.MAY_HAVE_RUN, got.refusal.get().verdict());
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
@@ -10,9 +10,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.vaneworks.coordination.fleet.FleetEndpoint;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.Reason;
-import org.vaneworks.state.StatedBackoff;
+import org.vaneworks.state.RequestedBackoff;
 import org.vaneworks.state.Verdict;
 
 /** Checks where requests go while endpoints want no calls from this node. */
@@ -25,11 +25,11 @@
   private void wantsNoCalls(FleetEndpoint endpoint, Duration length) {
     node.fleet
         .statements()
-        .answeredCall(endpoint, EndpointStatement.NONE.withBackoff(StatedBackoff.of(length)));
+        .answeredCall(endpoint, EndpointSignal.NONE.withBackoff(RequestedBackoff.of(length)));
   }
 
   private void turnAway(Duration length) {
-    node.last().listener.head(Head.turnedAway(StatedBackoff.of(length)));
+    node.last().listener.head(Head.turnedAway(RequestedBackoff.of(length)));
   }
 
   private void askForSeconds(int seconds) {
@@ -126,7 +126,7 @@
   void timeThatCannotBeReadHoldsNothingBackForLong() {
     FleetEndpoint only = node.replica(1);
     node.ask("/safe/x");
-    node.last().listener.head(Head.turnedAway(StatedBackoff.unreadable()));
+    node.last().listener.head(Head.turnedAway(RequestedBackoff.unreadable()));
     node.advance(250);
     node.ask("/safe/x");
     assertTrue(sentTo(only) >= 2);
@@ -136,7 +136,7 @@
   void answerOfAnotherEndpointInItsPlaceAsksForNothing() {
     FleetEndpoint only = node.replica(1);
     node.ask("/safe/x");
-    EndpointStatement said = EndpointStatement.NONE.withBackoff(StatedBackoff.of(BACKOFF));
+    EndpointSignal said = EndpointSignal.NONE.withBackoff(RequestedBackoff.of(BACKOFF));
     node.last().listener.head(new Head(421, true, true, Optional.empty(), said));
     node.advance(900);
     node.ask("/safe/x");
@@ -146,7 +146,7 @@
   @Test
   void laterRunOfAnEndpointThatLeftTakesRequests() {
     FleetEndpoint only = node.replica(1);
-    node.fleet.statements().answeredCall(only, EndpointStatement.NONE.thatLeaves());
+    node.fleet.statements().answeredCall(only, EndpointSignal.NONE.asLeaving());
     node.startsAgain(only);
     node.ask("/safe/x");
     assertEquals(1, node.sent.size());
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
@@ -29,7 +29,7 @@
 import org.vaneworks.coordination.forwarding.ForwardingLimits;
 import org.vaneworks.coordination.quarantine.SharedQuarantine;
 import org.vaneworks.coordination.relay.RequestSize;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
 import org.vaneworks.state.RequestContent;
@@ -99,7 +99,7 @@
     }
 
     void notRun(int status, Optional<HostPort> obstacle) {
-      listener.head(new Head(status, true, true, obstacle, EndpointStatement.NONE));
+      listener.head(new Head(status, true, true, obstacle, EndpointSignal.NONE));
     }
 
     void event(int id) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadDatagramsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadDatagramsTest.java
@@ -19,8 +19,8 @@
 import org.vaneworks.coordination.load.EnginePace;
 import org.vaneworks.coordination.load.LoadReport;
 import org.vaneworks.protocol.LoadCodec;
+import org.vaneworks.state.AdvertisedRateLimit;
 import org.vaneworks.state.HostPort;
-import org.vaneworks.state.StatedLimit;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.transport.entry.LoadDatagrams;
 
@@ -33,8 +33,8 @@
           ImmutableList.of(new EndpointLoad(-7, 3, 12_000), new EndpointLoad(9, 1, 0)),
           ImmutableList.of(new EnginePace(9, 4.5)),
           ImmutableList.of(
-              new EndpointLimit(-7, StatedLimit.of(3.3), Duration.ofMillis(250)),
-              new EndpointLimit(9, StatedLimit.none(), Duration.ZERO)));
+              new EndpointLimit(-7, AdvertisedRateLimit.of(3.3), Duration.ofMillis(250)),
+              new EndpointLimit(9, AdvertisedRateLimit.none(), Duration.ZERO)));
 
   private static final int REPORTS = 30;
   private static final int MAX_COLLECTIONS = 2000;
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadExchangeTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadExchangeTest.java
@@ -20,9 +20,9 @@
 import org.vaneworks.coordination.load.LoadExchange;
 import org.vaneworks.coordination.load.LoadReport;
 import org.vaneworks.coordination.shared.Peer;
+import org.vaneworks.state.AdvertisedRateLimit;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
-import org.vaneworks.state.StatedLimit;
 import org.vaneworks.state.StorePosition;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
@@ -380,7 +380,7 @@
             Incarnation.startedAt(2000)));
   }
 
-  private void peerTellsLimit(StatedLimit limit, int ageMillis) {
+  private void peerTellsLimit(AdvertisedRateLimit limit, int ageMillis) {
     EndpointLimit told =
         new EndpointLimit(
             EndpointLoad.keyOf(engine.endpoint()), limit, Duration.ofMillis(ageMillis));
@@ -388,27 +388,27 @@
         LoadReport.ofNode("one", ImmutableList.of(), ImmutableList.of(), ImmutableList.of(told)));
   }
 
-  private void engineSays(StatedLimit limit) {
+  private void engineSays(AdvertisedRateLimit limit) {
     fleet.statements().limits().heard(engine, limit);
   }
 
   @Test
   void limitThatAnEngineNamedIsToldWithItsAge() {
     exchange.start();
-    engineSays(StatedLimit.of(3));
+    engineSays(AdvertisedRateLimit.of(3));
     advance(200);
     EndpointLimit told = last.limits().get(0);
-    assertEquals(StatedLimit.of(3), told.stated());
+    assertEquals(AdvertisedRateLimit.of(3), told.stated());
     assertTrue(told.age().toMillis() >= 100 && told.age().toMillis() <= 200, told.toString());
   }
 
   @Test
   void endOfALimitIsToldForAWhile() {
     exchange.start();
-    engineSays(StatedLimit.of(3));
-    engineSays(StatedLimit.none());
+    engineSays(AdvertisedRateLimit.of(3));
+    engineSays(AdvertisedRateLimit.none());
     advance(1000);
-    assertEquals(StatedLimit.none(), last.limits().get(0).stated());
+    assertEquals(AdvertisedRateLimit.none(), last.limits().get(0).stated());
     advance(5000);
     assertEquals(ImmutableList.of(), last.limits());
   }
@@ -416,7 +416,7 @@
   @Test
   void limitThatAPeerToldIsInForceAndNotToldAgain() {
     exchange.start();
-    peerTellsLimit(StatedLimit.of(3), 0);
+    peerTellsLimit(AdvertisedRateLimit.of(3), 0);
     advance(200);
     assertEquals(ImmutableList.of(engine), fleet.statements().limits().inForce());
     assertEquals(ImmutableList.of(), last.limits());
@@ -428,37 +428,37 @@
         ImmutableList.of(
             new Peer("one", "dc1", PEER_1), new Peer("far", "dc2", new HostPort("10.2.0.1", 7340)));
     exchange.start();
-    peerTellsLimit(StatedLimit.of(3), 0);
+    peerTellsLimit(AdvertisedRateLimit.of(3), 0);
     advance(300);
     LoadReport ofGroup =
         reports.stream().filter(LoadReport::ofGroup).reduce((first, later) -> later).orElseThrow();
-    assertEquals(StatedLimit.of(3), ofGroup.limits().get(0).stated());
+    assertEquals(AdvertisedRateLimit.of(3), ofGroup.limits().get(0).stated());
   }
 
   @Test
   void newestWordCountsWhoeverHeardIt() {
-    engineSays(StatedLimit.of(3));
+    engineSays(AdvertisedRateLimit.of(3));
     advance(1000);
-    peerTellsLimit(StatedLimit.none(), 2000);
+    peerTellsLimit(AdvertisedRateLimit.none(), 2000);
     assertEquals(ImmutableList.of(engine), fleet.statements().limits().inForce());
-    peerTellsLimit(StatedLimit.none(), 100);
+    peerTellsLimit(AdvertisedRateLimit.none(), 100);
     assertEquals(ImmutableList.of(), fleet.statements().limits().inForce());
-    peerTellsLimit(StatedLimit.of(3), 500);
+    peerTellsLimit(AdvertisedRateLimit.of(3), 500);
     assertEquals(ImmutableList.of(), fleet.statements().limits().inForce());
   }
 
   @Test
   void unreadableWordChangesNothing() {
-    engineSays(StatedLimit.of(3));
-    engineSays(StatedLimit.unreadable());
+    engineSays(AdvertisedRateLimit.of(3));
+    engineSays(AdvertisedRateLimit.unreadable());
     assertEquals(ImmutableList.of(engine), fleet.statements().limits().inForce());
   }
 
   @Test
   void limitOfAFormerRunSaysNothingOfTheNext() {
-    engineSays(StatedLimit.of(3));
+    engineSays(AdvertisedRateLimit.of(3));
     engineStartsAgain();
-    peerTellsLimit(StatedLimit.of(3), 0);
+    peerTellsLimit(AdvertisedRateLimit.of(3), 0);
     assertEquals(ImmutableList.of(), fleet.statements().limits().inForce());
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/StartSharesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/StartSharesTest.java
@@ -16,9 +16,9 @@
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 import org.vaneworks.coordination.load.StartShares;
 import org.vaneworks.coordination.shared.Peer;
+import org.vaneworks.state.AdvertisedRateLimit;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
-import org.vaneworks.state.StatedLimit;
 import org.vaneworks.state.StorePosition;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
@@ -68,13 +68,13 @@
 
     /** Returns how many requests it may begin in a while, each as soon as it may. */
     int startsInAWhile(double limit) {
-      fleet.statements().limits().heard(engine, StatedLimit.of(limit));
+      fleet.statements().limits().heard(engine, AdvertisedRateLimit.of(limit));
       int starts = 0;
       for (int tick = 0; tick < SECONDS * 1000 / TICK_MILLIS; tick++) {
         clock.advance(Duration.ofMillis(TICK_MILLIS));
         starts += begin() ? 1 : 0;
         if (tick % 100 == 0) {
-          fleet.statements().limits().heard(engine, StatedLimit.of(limit));
+          fleet.statements().limits().heard(engine, AdvertisedRateLimit.of(limit));
         }
       }
       return starts;
@@ -140,7 +140,7 @@
   void startsAreNotSavedUp() {
     boxes = ImmutableList.of("box-0");
     Node node = new Node("box-0", "dc1");
-    node.fleet.statements().limits().heard(node.engine, StatedLimit.of(LIMIT));
+    node.fleet.statements().limits().heard(node.engine, AdvertisedRateLimit.of(LIMIT));
     node.begin();
     clock.advance(Duration.ofSeconds(8));
     assertTrue(node.begin());
@@ -150,7 +150,7 @@
   @Test
   void nodeWithoutAShareTriesTheEndpointOnceItsWordIsOld() {
     Node node = new Node("box-1", "dc2");
-    node.fleet.statements().limits().heard(node.engine, StatedLimit.of(LIMIT));
+    node.fleet.statements().limits().heard(node.engine, AdvertisedRateLimit.of(LIMIT));
     int starts = 0;
     for (int tick = 0; tick < 3 * SECONDS * 1000 / TICK_MILLIS; tick++) {
       clock.advance(Duration.ofMillis(TICK_MILLIS));
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
@@ -24,10 +24,10 @@
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 import org.vaneworks.coordination.fleet.TurnedAwayException;
 import org.vaneworks.coordination.placement.PlacementController;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
-import org.vaneworks.state.StatedBackoff;
+import org.vaneworks.state.RequestedBackoff;
 import org.vaneworks.state.StorePosition;
 import org.vaneworks.state.entry.EntryConfiguration;
 import org.vaneworks.state.entry.EntryLimits;
@@ -57,8 +57,8 @@
     public CompletableFuture<EngineReport> report(FleetEndpoint engine, Duration limit) {
       reports++;
       if (wantsNoCalls) {
-        EndpointStatement said =
-            EndpointStatement.NONE.withBackoff(StatedBackoff.of(Duration.ofSeconds(3)));
+        EndpointSignal said =
+            EndpointSignal.NONE.withBackoff(RequestedBackoff.of(Duration.ofSeconds(3)));
         fleet.statements().answeredCall(engine, said);
         return CompletableFuture.failedFuture(new TurnedAwayException());
       }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementPlannerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementPlannerTest.java
@@ -89,7 +89,7 @@
   void copyHasRoomForItsRequests() {
     ImmutableMap<String, LayerRange> orders = plan(engines(2, 2, 5));
     LayerRange range = orders.get("large0");
-    double tokens = MODEL.roomTokenLayers(LARGE, range.size()) / range.size();
+    double tokens = MODEL.tokenLayerCapacity(LARGE, range.size()) / range.size();
     assertTrue(tokens > 50_000, "room for " + tokens);
   }
 
@@ -113,7 +113,7 @@
     for (Holding engine : engines) {
       LayerRange range = engine.layers().orElse(LayerRange.of(0, 1));
       if (engine.layers().isPresent() && range.from() <= layer && layer < range.to()) {
-        double tokens = MODEL.roomTokenLayers(engine.accelerator(), range.size()) / range.size();
+        double tokens = MODEL.tokenLayerCapacity(engine.accelerator(), range.size()) / range.size();
         requests += tokens / (MODEL.usualPrompt() + MODEL.usualAnswer());
       }
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/relay/PathPlannerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/relay/PathPlannerTest.java
@@ -224,7 +224,7 @@
     AcceleratorProfile accelerator =
         Models.eightyLayers().accelerator(engine.endpoint().accelerator()).get();
     int held = engine.endpoint().layers().get().size();
-    double room = Models.eightyLayers().roomTokenLayers(accelerator, held);
+    double room = Models.eightyLayers().tokenLayerCapacity(accelerator, held);
     double needed = engine.tokenLayersOfAll() + 1000.0 * part.layers().size();
     // One that is described as too small for its own layers refuses by itself.
     assertTrue(room <= 0 || needed <= room, part + " needs " + needed + " of " + room);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/NodeLeaseTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/shared/NodeLeaseTest.java
@@ -225,7 +225,7 @@
     NodeLease first = node(store, "box1", "1");
     advance(500);
     long fence = first.controllerFence().getAsLong();
-    long revision = fence - new StorePosition(store.era(), 0).number();
+    long revision = fence - new StorePosition(store.era(), 0).toLong();
     first.change(
         new StoreChanges.Change(
             new StoredItem(
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryFixture.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.vaneworks.coordination.forwarding.CallerAnswer;
 import org.vaneworks.coordination.forwarding.CallerRequest;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.entry.EntryLimits;
 import org.vaneworks.telemetry.Counters;
@@ -164,7 +164,7 @@
         false,
         true,
         Optional.empty(),
-        EndpointStatement.NONE);
+        EndpointSignal.NONE);
   }
 
   /** Waits until a connection that was opened now has been closed as idle. */
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/PlainHeaders.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/PlainHeaders.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.vaneworks.coordination.forwarding.Attempt;
 import org.vaneworks.coordination.relay.RequestSize;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 
 /** Headers that carry nothing; each request has the same id. */
@@ -44,8 +44,8 @@
   }
 
   @Override
-  public EndpointStatement statement(int status, HttpHeaders headers) {
-    return EndpointStatement.NONE;
+  public EndpointSignal statement(int status, HttpHeaders headers) {
+    return EndpointSignal.NONE;
   }
 
   @Override
--- a/vaneworks/src/main/java/org/vaneworks/coordination/Lifecycle.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/Lifecycle.java
@@ -60,12 +60,12 @@
   synchronized Optional<Refusal> enter() {
     if (phase == Phase.STARTING) {
       return Optional.of(
-          Refusal.before(Reason.NOT_READY, "the configuration was not read yet")
+          Refusal.nothingSent(Reason.NOT_READY, "the configuration was not read yet")
               .withRetryAfter(Duration.ofSeconds(1)));
     }
     if (phase == Phase.REFUSING) {
       return Optional.of(
-          Refusal.before(Reason.STOPPING, "ask again; the balancer knows other nodes")
+          Refusal.nothingSent(Reason.STOPPING, "ask again; the balancer knows other nodes")
               .withRetryAfter(ANOTHER_NODE));
     }
     inFlight++;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/OnceService.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/OnceService.java
@@ -123,7 +123,7 @@
     try {
       home = TicketOffice.homeOf(ticket);
     } catch (IllegalArgumentException e) {
-      return refused(Refusal.before(Reason.UNKNOWN_TICKET, e.getMessage()));
+      return refused(Refusal.nothingSent(Reason.UNKNOWN_TICKET, e.getMessage()));
     }
     OnceRequest request = request(ticket, true, workspace, work, options);
     return office.answersFor(home) ? here(request, live) : forward(home, request);
@@ -165,7 +165,7 @@
   private CompletableFuture<OnceOutcome> unclaimed(OnceRequest own, Throwable failure) {
     counters.count(Metric.CLAIMS, "unavailable");
     Refusal why = RefusalException.refusalOf(failure);
-    Refusal nothingRan = Refusal.before(why.reason(), why.detail());
+    Refusal nothingRan = Refusal.nothingSent(why.reason(), why.detail());
     book.finish(own.recordId(), new OnceOutcome.Refused(nothingRan));
     return refused(why.withoutProof());
   }
@@ -173,7 +173,7 @@
   private CompletableFuture<OnceOutcome> byHeldClaim(
       Claim held, String workspace, OnceWork work, CallerOptions options, AnswerSink live) {
     if (!held.bodyHash().equals(work.hash())) {
-      return refused(Refusal.before(Reason.KEY_REUSED, "the first request had another body"));
+      return refused(Refusal.nothingSent(Reason.KEY_REUSED, "the first request had another body"));
     }
     OnceRequest request = request(CLAIM_RECORD + held.claimId(), false, workspace, work, options);
     return office.answersFor(held.holder()) ? here(request, live) : forward(held.holder(), request);
@@ -185,7 +185,7 @@
     if (!request.recordId().startsWith(CLAIM_RECORD)) {
       switch (office.worth(request.recordId())) {
         case FORGED -> {
-          return refused(Refusal.before(Reason.UNKNOWN_TICKET, "the signature is not ours"));
+          return refused(Refusal.nothingSent(Reason.UNKNOWN_TICKET, "the signature is not ours"));
         }
         case EXPIRED -> mayCreate = false;
         case VALID -> {}
--- a/vaneworks/src/main/java/org/vaneworks/coordination/RequestGate.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/RequestGate.java
@@ -179,12 +179,12 @@
   private CompletionRequest checked(String workspace, CompletionBody body, CallerOptions options) {
     WorkspacePlan plan = planOf(workspace);
     if (body.prompt().isEmpty()) {
-      throw Refusal.before(Reason.INVALID_FIELD, "messages: must not be empty").toException();
+      throw Refusal.nothingSent(Reason.INVALID_FIELD, "messages: must not be empty").toException();
     }
     int maxTokens = body.maxTokens().orElse(plan.maxTokens());
     if (maxTokens < 1 || maxTokens > plan.maxTokens()) {
       String detail = "max_tokens: is " + maxTokens + ", allowed: 1 to " + plan.maxTokens();
-      throw Refusal.before(Reason.INVALID_FIELD, detail).toException();
+      throw Refusal.nothingSent(Reason.INVALID_FIELD, detail).toException();
     }
     return new CompletionRequest(
         plan,
@@ -199,7 +199,7 @@
     return board
         .snapshot()
         .plan(workspace)
-        .orElseThrow(() -> Refusal.before(Reason.UNKNOWN_WORKSPACE, workspace).toException());
+        .orElseThrow(() -> Refusal.nothingSent(Reason.UNKNOWN_WORKSPACE, workspace).toException());
   }
 
   private AnswerSink countedOut(AnswerSink sink) {
@@ -260,7 +260,7 @@
     Refusal refusal =
         outcome instanceof OnceOutcome.Refused refused
             ? refused.refusal()
-            : Refusal.before(Reason.KEY_REUSED, "the record is that of a completion");
+            : Refusal.nothingSent(Reason.KEY_REUSED, "the record is that of a completion");
     return CompletableFuture.failedFuture(refusal.toException());
   }
 
@@ -270,7 +270,8 @@
       ServiceSpec spec =
           planOf(workspace)
               .service(service)
-              .orElseThrow(() -> Refusal.before(Reason.UNKNOWN_SERVICE, service).toException());
+              .orElseThrow(
+                  () -> Refusal.nothingSent(Reason.UNKNOWN_SERVICE, service).toException());
       boolean byRule = spec.repeatable(call.method(), call.path());
       boolean repeatable = byRule && options.repeatable().orElse(true);
       return services.call(service, call, repeatable, options.deadline());
--- a/vaneworks/src/main/java/org/vaneworks/coordination/ServiceRouter.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/ServiceRouter.java
@@ -93,7 +93,7 @@
     Optional<EndpointState> chosen = choose(service, tried);
     if (chosen.isEmpty()) {
       return CompletableFuture.failedFuture(
-          Refusal.before(Reason.NO_ENDPOINT, "no live endpoint serves " + service)
+          Refusal.nothingSent(Reason.NO_ENDPOINT, "no live endpoint serves " + service)
               .withRetryAfter(Duration.ofSeconds(1))
               .toException());
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionControl.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionControl.java
@@ -131,7 +131,8 @@
    */
   @CanIgnoreReturnValue
   public boolean withdraw(CompletableFuture<Admission> outcome) {
-    Refusal gone = Refusal.before(Reason.CALLER_GONE, "the caller left while the request waited");
+    Refusal gone =
+        Refusal.nothingSent(Reason.CALLER_GONE, "the caller left while the request waited");
     return outcome.completeExceptionally(gone.toException());
   }
 
@@ -169,7 +170,7 @@
     int mine = inFlight.getOrDefault(workspace, 0) + queue.waitingOf(workspace);
     if (mine >= share) {
       return Optional.of(
-          Refusal.before(
+          Refusal.nothingSent(
                   Reason.WORKSPACE_LIMIT,
                   "limits.maxInFlight of " + workspace + " is " + total + ", here " + share)
               .withRetryAfter(retryAfter(1)));
@@ -185,13 +186,13 @@
     int ahead = queue.ahead(waiting.flow());
     if (planner.plan(waiting.query()).isEmpty()) {
       return Optional.of(
-          Refusal.before(
+          Refusal.nothingSent(
                   Reason.NO_ENDPOINT, "no live engines cover model " + request.plan().model())
               .withRetryAfter(Duration.ofSeconds(1)));
     }
     if (queue.waitingOf(request.plan().workspace()) >= request.plan().maxQueue()) {
       return Optional.of(
-          Refusal.before(Reason.QUEUE_FULL, "limits.maxQueue is " + request.plan().maxQueue())
+          Refusal.nothingSent(Reason.QUEUE_FULL, "limits.maxQueue is " + request.plan().maxQueue())
               .withRetryAfter(retryAfter(ahead)));
     }
     Duration patience = patience(request);
@@ -228,7 +229,7 @@
 
   @GuardedBy("this")
   private Refusal tooLate(int ahead, String detail) {
-    return Refusal.before(Reason.LATENCY_BOUND, detail).withRetryAfter(retryAfter(ahead));
+    return Refusal.nothingSent(Reason.LATENCY_BOUND, detail).withRetryAfter(retryAfter(ahead));
   }
 
   @GuardedBy("this")
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationEditor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationEditor.java
@@ -252,7 +252,7 @@
   private CompletableFuture<ConfigurationHead> decide(
       Try made, StoredConfiguration now, Optional<StoreException> failure) {
     ConfigurationChange change = made.change();
-    if (now.head().remembers(change.changeId())) {
+    if (now.head().historyContains(change.changeId())) {
       return CompletableFuture.completedFuture(now.head());
     }
     boolean moved = now.revision() != made.base().revision();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointBackoffs.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointBackoffs.java
@@ -4,7 +4,7 @@
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
 import io.servicetalk.concurrent.Executor;
-import org.vaneworks.state.StatedBackoff;
+import org.vaneworks.state.RequestedBackoff;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.telemetry.Event;
 import org.vaneworks.telemetry.EventLog;
@@ -30,16 +30,16 @@
    *
    * @param backoff of the run that answered, also if that has lapsed from the list
    */
-  void heard(FleetEndpoint endpoint, Backoff backoff, StatedBackoff stated) {
+  void heard(FleetEndpoint endpoint, Backoff backoff, RequestedBackoff stated) {
     if (stated.isUnreadable()) {
       counters.count(Metric.ENDPOINT_BACKOFFS, "unreadable");
       EventLog.warn(Event.ENDPOINT_BACKOFF_UNREADABLE, "endpoint", endpoint.id());
-    } else if (stated.isAsked()) {
+    } else if (stated.isRequested()) {
       take(endpoint, backoff, stated);
     }
   }
 
-  private void take(FleetEndpoint endpoint, Backoff backoff, StatedBackoff stated) {
+  private void take(FleetEndpoint endpoint, Backoff backoff, RequestedBackoff stated) {
     counters.count(Metric.ENDPOINT_BACKOFFS, "asked");
     if (!backoff.isInForce(now())) {
       EventLog.info(
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointLimits.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointLimits.java
@@ -9,7 +9,7 @@
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import org.vaneworks.state.StatedLimit;
+import org.vaneworks.state.AdvertisedRateLimit;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.telemetry.Event;
 import org.vaneworks.telemetry.EventLog;
@@ -43,7 +43,7 @@
   }
 
   /** Takes what an endpoint's answer to this node says. */
-  public void heard(TrackedEndpoint endpoint, StatedLimit stated) {
+  public void heard(TrackedEndpoint endpoint, AdvertisedRateLimit stated) {
     if (stated.isUnreadable()) {
       noteUnreadable(endpoint);
     } else if (stated.isLimited() || known.contains(endpoint)) {
@@ -64,19 +64,20 @@
    *
    * @param heardAt when the peer had it, on this node's clock in nanoseconds
    */
-  public void heardOfPeer(TrackedEndpoint endpoint, StatedLimit stated, long heardAt) {
+  public void heardOfPeer(TrackedEndpoint endpoint, AdvertisedRateLimit stated, long heardAt) {
     if (heardAt > endpoint.startLimit().heardAt()) {
       take(endpoint, stated, heardAt, "peer");
     }
   }
 
-  private void take(TrackedEndpoint endpoint, StatedLimit stated, long heardAt, String toldBy) {
+  private void take(
+      TrackedEndpoint endpoint, AdvertisedRateLimit stated, long heardAt, String toldBy) {
     log(endpoint, stated, toldBy);
     endpoint.startLimit().take(stated, heardAt);
     known.add(endpoint);
   }
 
-  private void log(TrackedEndpoint endpoint, StatedLimit stated, String toldBy) {
+  private void log(TrackedEndpoint endpoint, AdvertisedRateLimit stated, String toldBy) {
     StartLimit before = endpoint.startLimit();
     if (before.stated().isLimited() == stated.isLimited()) {
       return;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointStatements.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointStatements.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.telemetry.Metric;
 
@@ -83,18 +83,18 @@
   }
 
   /** Takes what an endpoint says of itself on its answer to a request. */
-  public void answered(TrackedEndpoint endpoint, EndpointStatement said) {
+  public void answered(TrackedEndpoint endpoint, EndpointSignal said) {
     // If its entry has lapsed and come back meanwhile, it is known as another one by now.
     limits.heard(listed.apply(endpoint.endpoint()).orElse(endpoint), said.limit());
     take(endpoint.endpoint(), endpoint.statements(), said);
   }
 
   /** Takes what an engine says of itself on its answer to a question or an order. */
-  public void answeredCall(FleetEndpoint engine, EndpointStatement said) {
+  public void answeredCall(FleetEndpoint engine, EndpointSignal said) {
     take(engine, of(engine), said);
   }
 
-  private void take(FleetEndpoint endpoint, RunStatements before, EndpointStatement said) {
+  private void take(FleetEndpoint endpoint, RunStatements before, EndpointSignal said) {
     backoffs.heard(endpoint, before.backoff(), said.backoff());
     if (said.leaving() && !before.isLeaving()) {
       before.announceEnd();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineControl.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineControl.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiConsumer;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
 
@@ -51,7 +51,7 @@
   CompletableFuture<RepathOutcome> repath(FleetEndpoint first, String requestId, String path);
 
   /** Calls back with what an engine says of itself on an answer, before the answer is taken. */
-  default void onStatement(BiConsumer<FleetEndpoint, EndpointStatement> listener) {}
+  default void onStatement(BiConsumer<FleetEndpoint, EndpointSignal> listener) {}
 
   /** Closes what connects to an address whose process is gone. */
   default void forget(HostPort address) {}
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/FleetEndpoint.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/FleetEndpoint.java
@@ -49,7 +49,7 @@
   public String run() {
     return incarnation.isTold()
         ? id + "@" + incarnation.startedAt().getAsLong()
-        : id + "#" + listedAt.number();
+        : id + "#" + listedAt.toLong();
   }
 
   /** Returns an endpoint that does not tell when it started. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/StartLimit.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/StartLimit.java
@@ -1,6 +1,6 @@
 package org.vaneworks.coordination.fleet;
 
-import org.vaneworks.state.StatedLimit;
+import org.vaneworks.state.AdvertisedRateLimit;
 
 /**
  * How many requests a second one endpoint takes from all nodes together, as far as this node knows,
@@ -12,7 +12,7 @@
 public final class StartLimit {
   private static final double NANOS_PER_SECOND = 1e9;
 
-  private StatedLimit stated = StatedLimit.none();
+  private AdvertisedRateLimit stated = AdvertisedRateLimit.none();
   private long heardAt = Long.MIN_VALUE / 2;
   private long changedAt = Long.MIN_VALUE / 2;
   private long toldThisNodeAt = Long.MIN_VALUE / 2;
@@ -23,7 +23,7 @@
   StartLimit() {}
 
   /** Returns what the endpoint said last, to this node or to a peer. */
-  public StatedLimit stated() {
+  public AdvertisedRateLimit stated() {
     return stated;
   }
 
@@ -47,7 +47,7 @@
     return toldThisNodeAt;
   }
 
-  void take(StatedLimit newest, long newestHeardAt) {
+  void take(AdvertisedRateLimit newest, long newestHeardAt) {
     if (newest.isLimited() != stated.isLimited()) {
       startsSinceChange = 0;
       share = 0;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/AnswerHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/AnswerHead.java
@@ -1,7 +1,7 @@
 package org.vaneworks.coordination.forwarding;
 
 import java.util.Optional;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 
 /** The head of an endpoint's answer as decisions see it; its headers stay with the transport. */
@@ -19,7 +19,7 @@
   Optional<HostPort> obstacle();
 
   /** Returns what the endpoint says of itself. */
-  EndpointStatement statement();
+  EndpointSignal statement();
 
   /** Returns whether this is an answer of success. */
   default boolean success() {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ContentGuard.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ContentGuard.java
@@ -71,7 +71,7 @@
 
   /** Returns the answer to a request that was never sent because it is held back. */
   Refusal refusal() {
-    return Refusal.before(Reason.QUARANTINED, "content " + content())
+    return Refusal.nothingSent(Reason.QUARANTINED, "content " + content())
         .withRetryAfter(context.quarantine().remaining(content()));
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardRun.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardRun.java
@@ -93,7 +93,7 @@
     this.request = request;
     this.answer = answer;
     this.onDone = onDone;
-    this.service = route.service(context.random().nextDouble());
+    this.service = route.selectService(context.random().nextDouble());
     this.place =
         new Place(
             context,
@@ -482,7 +482,7 @@
     Refusal refusal;
     if (runs == 0 && lastVerdict == Verdict.NOT_RUN) {
       Reason reason = denial == Denial.NO_ROOM ? Reason.NO_ENDPOINT : Reason.ENDPOINT_OVERLOADED;
-      refusal = Refusal.before(reason, detail).withRetryAfter(comeBack());
+      refusal = Refusal.nothingSent(reason, detail).withRetryAfter(comeBack());
     } else {
       refusal = Refusal.mayHaveRun(Reason.ENDPOINT_LOST, detail);
     }
@@ -518,7 +518,7 @@
     close();
     Refusal refusal =
         runs == 0 && !mayRunNow
-            ? Refusal.before(Reason.NOT_STARTED_IN_TIME, "no place").withRetryAfter(comeBack())
+            ? Refusal.nothingSent(Reason.NOT_STARTED_IN_TIME, "no place").withRetryAfter(comeBack())
             : Refusal.mayHaveRun(Reason.DEADLINE, "the time limit passed");
     refuse(refusal);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
@@ -207,7 +207,7 @@
 
   private CallerAnswer.Flow refuse(
       CallerRequest request, CallerAnswer answer, Reason reason, String detail) {
-    Refusal refusal = Refusal.before(reason, detail);
+    Refusal refusal = Refusal.nothingSent(reason, detail);
     if (reason.status() == 503) {
       refusal = refusal.withRetryAfter(COME_BACK_SOON);
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/ClaimShard.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/ClaimShard.java
@@ -162,7 +162,7 @@
     }
     String text = format.encodeClaims(ImmutableList.copyOf(next.values()));
     if (text.length() > MAX_DOCUMENT) {
-      refuse(batch, Refusal.before(Reason.RECORDS_FULL, key + " is full"));
+      refuse(batch, Refusal.nothingSent(Reason.RECORDS_FULL, key + " is full"));
       return;
     }
     Async.onDone(
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceBook.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceBook.java
@@ -75,7 +75,7 @@
       return mayCreate ? create(recordId, bodyHash) : refuse(gone());
     }
     if (!entry.bodyHash.equals(bodyHash)) {
-      return refuse(Refusal.before(Reason.KEY_REUSED, "the first request had another body"));
+      return refuse(Refusal.nothingSent(Reason.KEY_REUSED, "the first request had another body"));
     }
     if (entry.isReleased()) {
       entry.running = true;
@@ -89,7 +89,7 @@
     forgetOld();
     if (entries.size() >= limits.maxRecords() || bytes >= limits.maxBytes()) {
       return refuse(
-          Refusal.before(Reason.RECORDS_FULL, entries.size() + " records")
+          Refusal.nothingSent(Reason.RECORDS_FULL, entries.size() + " records")
               .withRetryAfter(Duration.ofSeconds(5)));
     }
     entries.put(recordId, new Entry(bodyHash, now()));
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceDelivery.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceDelivery.java
@@ -49,6 +49,6 @@
   }
 
   private static Refusal wrongKind() {
-    return Refusal.before(Reason.KEY_REUSED, "the record is that of a service call");
+    return Refusal.nothingSent(Reason.KEY_REUSED, "the record is that of a service call");
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/placement/Coverage.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/placement/Coverage.java
@@ -64,7 +64,7 @@
     for (Holding engine : engines) {
       LayerRange range = held.get(engine.id());
       if (range != null) {
-        double tokens = model.roomTokens(engine.accelerator(), range.size());
+        double tokens = model.tokenCapacity(engine.accelerator(), range.size());
         for (int layer = range.from(); layer < Math.min(range.to(), room.length); layer++) {
           room[layer] += tokens;
         }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementPlanner.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementPlanner.java
@@ -222,7 +222,7 @@
         continue;
       }
       int added = wider - range.size();
-      double room = model.roomTokens(engine.accelerator(), wider) / added;
+      double room = model.tokenCapacity(engine.accelerator(), wider) / added;
       if (room > bestRoom) {
         best = engine;
         bestRoom = room;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementValue.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementValue.java
@@ -129,7 +129,7 @@
   }
 
   private Holder holder(int index, Holding engine, LayerRange range) {
-    double tokens = model.roomTokens(engine.accelerator(), range.size());
+    double tokens = model.tokenCapacity(engine.accelerator(), range.size());
     return new Holder(
         index,
         engine.accelerator().stepFactor(),
--- a/vaneworks/src/main/java/org/vaneworks/coordination/relay/PathPlanner.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/relay/PathPlanner.java
@@ -323,7 +323,7 @@
     return new EngineCost(
         perLayer * noise,
         fixed * noise,
-        model.roomTokenLayers(accelerator, held),
+        model.tokenLayerCapacity(accelerator, held),
         taken,
         size.tokens());
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/NodeLease.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/NodeLease.java
@@ -323,9 +323,9 @@
   private void won(StorePosition createdAt) {
     controllerPresent = true;
     boolean wasController = fence.isPresent();
-    fence = OptionalLong.of(createdAt.number());
+    fence = OptionalLong.of(createdAt.toLong());
     if (!wasController) {
-      EventLog.info(Event.LEASE_WON, "fence", createdAt.number());
+      EventLog.info(Event.LEASE_WON, "fence", createdAt.toLong());
       wonListeners.forEach(Runnable::run);
     }
   }
@@ -423,7 +423,7 @@
   }
 
   private void takeController(StoredItem item, boolean removed) {
-    if (fence.isPresent() && item.changedAt().number() < fence.getAsLong()) {
+    if (fence.isPresent() && item.changedAt().toLong() < fence.getAsLong()) {
       return; // It tells of an earlier controller.
     }
     controllerPresent = !removed;
--- a/vaneworks/src/main/java/org/vaneworks/protocol/CallerJson.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/CallerJson.java
@@ -23,14 +23,14 @@
    * @param body what is asked
    * @param stream whether as server-sent events
    */
-  public record Parsed(CompletionBody body, boolean stream) {}
+  public record ParsedCompletion(CompletionBody body, boolean stream) {}
 
   /**
    * Reads a completion; fields of the form that are not used here are let through.
    *
    * @throws InvalidFieldException naming the field that is not accepted
    */
-  public static Parsed readCompletion(String text) {
+  public static ParsedCompletion readCompletion(String text) {
     FieldReader fields = FieldReader.of("", Json.parse(text));
     StringBuilder prompt = new StringBuilder(fields.text("prompt", ""));
     for (FieldReader message : fields.objects("messages")) {
@@ -47,7 +47,7 @@
         fields.has("max_tokens")
             ? OptionalInt.of(fields.integer("max_tokens", 1, MAX_TOKENS))
             : OptionalInt.empty();
-    return new Parsed(
+    return new ParsedCompletion(
         new CompletionBody(prompt.toString(), maxTokens), fields.bool("stream", false));
   }
 
@@ -70,7 +70,7 @@
   }
 
   /** Returns the document of a whole answer. */
-  public static String writeWhole(String id, List<String> tokens) {
+  public static String writeCompletion(String id, List<String> tokens) {
     ObjectNode node = completion(id, "chat.completion");
     ObjectNode choice = node.putArray("choices").addObject().put("index", 0);
     choice.putObject("message").put("role", "assistant").put("content", String.join("", tokens));
--- a/vaneworks/src/main/java/org/vaneworks/protocol/EngineJson.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/EngineJson.java
@@ -191,12 +191,12 @@
   }
 
   /** Reads under which name a session is to be imported. */
-  public static SessionId readImportName(JsonNode node) {
+  public static SessionId readImportTarget(JsonNode node) {
     return readSession(FieldReader.of("", node).object("as"));
   }
 
   /** Reads the session that is to be imported. */
-  public static SessionExport readImportExport(JsonNode node) {
+  public static SessionExport readImportSource(JsonNode node) {
     return readExport(FieldReader.of("", node).object("export"));
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/protocol/FieldReader.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/FieldReader.java
@@ -19,8 +19,8 @@
  *
  * <p>A reader made by {@link #of} throws {@link InvalidFieldException} at the first problem, naming
  * the field, its value and what is allowed. One made by {@link #collecting} goes on with a value
- * that means nothing, and {@link #finish} throws with all problems; what was read must not be used
- * before that. Not thread-safe.
+ * that means nothing, and {@link #throwIfInvalid} throws with all problems; what was read must not
+ * be used before that. Not thread-safe.
  */
 public final class FieldReader {
   /** Stands in for an address that is not accepted. */
@@ -57,7 +57,7 @@
   }
 
   /**
-   * Returns a reader of a whole document that notes problems until {@link #finish}.
+   * Returns a reader of a whole document that notes problems until {@link #throwIfInvalid}.
    *
    * @throws InvalidFieldException if the document is no object
    */
@@ -76,7 +76,7 @@
    *
    * @throws InvalidFieldException with a line for each problem
    */
-  public void finish() {
+  public void throwIfInvalid() {
     if (!collected.isEmpty()) {
       throw InvalidFieldException.all(collected);
     }
--- a/vaneworks/src/main/java/org/vaneworks/protocol/LoadCodec.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/LoadCodec.java
@@ -10,7 +10,7 @@
 import org.vaneworks.coordination.load.EnginePace;
 import org.vaneworks.coordination.load.LoadReport;
 import org.vaneworks.protocol.generated.LoadProto;
-import org.vaneworks.state.StatedLimit;
+import org.vaneworks.state.AdvertisedRateLimit;
 
 /** Load reports as bytes; memory is rounded to thousands of tokens times layers. */
 public final class LoadCodec {
@@ -91,7 +91,7 @@
         message.getConfiguration());
   }
 
-  private static int thousandths(StatedLimit stated) {
+  private static int thousandths(AdvertisedRateLimit stated) {
     if (!stated.isLimited()) {
       return NO_LIMIT;
     }
@@ -106,10 +106,10 @@
     ImmutableList.Builder<EndpointLimit> limits = ImmutableList.builder();
     for (int i = 0; i < count; i++) {
       int thousandths = message.getLimitThousandths(i);
-      StatedLimit stated =
+      AdvertisedRateLimit stated =
           thousandths == NO_LIMIT
-              ? StatedLimit.none()
-              : StatedLimit.of((double) thousandths / THOUSAND);
+              ? AdvertisedRateLimit.none()
+              : AdvertisedRateLimit.of((double) thousandths / THOUSAND);
       Duration age = Duration.ofMillis(message.getLimitAgeMillis(i));
       limits.add(new EndpointLimit(message.getLimitKey(i), stated, age));
     }
--- a/vaneworks/src/main/java/org/vaneworks/protocol/PeerCodec.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/PeerCodec.java
@@ -30,7 +30,7 @@
    * @param id the number, unique on its connection
    * @param message the message
    */
-  public record Numbered(long id, PeerMessage message) {}
+  public record NumberedMessage(long id, PeerMessage message) {}
 
   /** Returns the bytes of a message. */
   public static byte[] encode(long id, PeerMessage message) {
@@ -89,10 +89,10 @@
    *
    * @throws IllegalArgumentException if they stand for none
    */
-  public static Numbered decode(byte[] bytes) {
+  public static NumberedMessage decode(byte[] bytes) {
     try {
       Envelope envelope = Envelope.parseFrom(bytes);
-      return new Numbered(envelope.getId(), read(envelope));
+      return new NumberedMessage(envelope.getId(), read(envelope));
     } catch (InvalidProtocolBufferException e) {
       throw new IllegalArgumentException(e);
     }
--- a/vaneworks/src/main/java/org/vaneworks/state/StatedLimit.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/AdvertisedRateLimit.java
@@ -8,40 +8,40 @@
  *
  * <p>Immutable.
  */
-public final class StatedLimit {
+public final class AdvertisedRateLimit {
   private enum Kind {
     NONE,
     LIMITED,
     UNREADABLE
   }
 
-  private static final StatedLimit NONE = new StatedLimit(Kind.NONE, 0);
-  private static final StatedLimit UNREADABLE = new StatedLimit(Kind.UNREADABLE, 0);
+  private static final AdvertisedRateLimit NONE = new AdvertisedRateLimit(Kind.NONE, 0);
+  private static final AdvertisedRateLimit UNREADABLE = new AdvertisedRateLimit(Kind.UNREADABLE, 0);
 
   private final Kind kind;
   private final double perSecond;
 
-  private StatedLimit(Kind kind, double perSecond) {
+  private AdvertisedRateLimit(Kind kind, double perSecond) {
     this.kind = kind;
     this.perSecond = perSecond;
   }
 
   /** Returns what an answer says that names no limit: there is none, or none any more. */
-  public static StatedLimit none() {
+  public static AdvertisedRateLimit none() {
     return NONE;
   }
 
   /** Returns a limit in requests a second; 0 takes none. */
-  public static StatedLimit of(double perSecond) {
+  public static AdvertisedRateLimit of(double perSecond) {
     checkArgument(
         perSecond >= 0 && perSecond < Double.POSITIVE_INFINITY,
         "perSecond must be a number of at least 0: %s",
         perSecond);
-    return new StatedLimit(Kind.LIMITED, perSecond);
+    return new AdvertisedRateLimit(Kind.LIMITED, perSecond);
   }
 
   /** Returns what an answer says whose limit can't be read: nothing, whatever was known before. */
-  public static StatedLimit unreadable() {
+  public static AdvertisedRateLimit unreadable() {
     return UNREADABLE;
   }
 
@@ -63,7 +63,9 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof StatedLimit that && kind == that.kind && perSecond == that.perSecond;
+    return other instanceof AdvertisedRateLimit that
+        && kind == that.kind
+        && perSecond == that.perSecond;
   }
 
   @Override
--- a/vaneworks/src/main/java/org/vaneworks/state/ConfigurationHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/ConfigurationHead.java
@@ -47,7 +47,7 @@
   }
 
   /** Returns whether the change made this head or is among those that it remembers. */
-  public boolean remembers(String change) {
+  public boolean historyContains(String change) {
     return history.stream().anyMatch(record -> record.changeId().equals(change));
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/state/EndpointStatement.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/EndpointSignal.java
@@ -9,29 +9,29 @@
  * @param backoff how long it wants no calls from the node that it answers
  * @param leaving whether it will end soon
  */
-public record EndpointStatement(StatedLimit limit, StatedBackoff backoff, boolean leaving) {
+public record EndpointSignal(AdvertisedRateLimit limit, RequestedBackoff backoff, boolean leaving) {
   /** Says nothing. */
-  public static final EndpointStatement NONE =
-      new EndpointStatement(StatedLimit.none(), StatedBackoff.none(), false);
+  public static final EndpointSignal NONE =
+      new EndpointSignal(AdvertisedRateLimit.none(), RequestedBackoff.none(), false);
 
   /** Checks that every part is given. */
-  public EndpointStatement {
+  public EndpointSignal {
     checkNotNull(limit);
     checkNotNull(backoff);
   }
 
   /** Returns this statement with another limit. */
-  public EndpointStatement withLimit(StatedLimit stated) {
-    return new EndpointStatement(stated, backoff, leaving);
+  public EndpointSignal withLimit(AdvertisedRateLimit stated) {
+    return new EndpointSignal(stated, backoff, leaving);
   }
 
   /** Returns this statement with another backoff. */
-  public EndpointStatement withBackoff(StatedBackoff stated) {
-    return new EndpointStatement(limit, stated, leaving);
+  public EndpointSignal withBackoff(RequestedBackoff stated) {
+    return new EndpointSignal(limit, stated, leaving);
   }
 
   /** Returns this statement of an endpoint that will end soon. */
-  public EndpointStatement thatLeaves() {
-    return new EndpointStatement(limit, backoff, true);
+  public EndpointSignal asLeaving() {
+    return new EndpointSignal(limit, backoff, true);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/state/Refusal.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/Refusal.java
@@ -38,7 +38,7 @@
   }
 
   /** Returns a refusal made inside this node, before anything was sent. */
-  public static Refusal before(Reason reason, String detail) {
+  public static Refusal nothingSent(Reason reason, String detail) {
     return notRun(NotRunProof.NOTHING_SENT, reason, detail);
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/state/StatedBackoff.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/RequestedBackoff.java
@@ -10,42 +10,43 @@
  *
  * <p>Immutable.
  */
-public final class StatedBackoff {
+public final class RequestedBackoff {
   private enum Kind {
     NONE,
     ASKED,
     UNREADABLE
   }
 
-  private static final StatedBackoff NONE = new StatedBackoff(Kind.NONE, Duration.ZERO);
-  private static final StatedBackoff UNREADABLE = new StatedBackoff(Kind.UNREADABLE, Duration.ZERO);
+  private static final RequestedBackoff NONE = new RequestedBackoff(Kind.NONE, Duration.ZERO);
+  private static final RequestedBackoff UNREADABLE =
+      new RequestedBackoff(Kind.UNREADABLE, Duration.ZERO);
 
   private final Kind kind;
   private final Duration length;
 
-  private StatedBackoff(Kind kind, Duration length) {
+  private RequestedBackoff(Kind kind, Duration length) {
     this.kind = kind;
     this.length = length;
   }
 
   /** Returns what an answer says that asks for no backoff; one asked for before goes on. */
-  public static StatedBackoff none() {
+  public static RequestedBackoff none() {
     return NONE;
   }
 
   /** Returns a backoff that begins when the answer is read. */
-  public static StatedBackoff of(Duration length) {
+  public static RequestedBackoff of(Duration length) {
     checkArgument(!length.isNegative(), "length must not be negative: %s", length);
-    return new StatedBackoff(Kind.ASKED, length);
+    return new RequestedBackoff(Kind.ASKED, length);
   }
 
   /** Returns what an answer says whose backoff can't be read. */
-  public static StatedBackoff unreadable() {
+  public static RequestedBackoff unreadable() {
     return UNREADABLE;
   }
 
   /** Returns whether the endpoint asks for a backoff. */
-  public boolean isAsked() {
+  public boolean isRequested() {
     return kind == Kind.ASKED;
   }
 
@@ -56,13 +57,15 @@
 
   /** Returns how long it is; there must be one. */
   public Duration length() {
-    checkState(isAsked(), "no backoff: %s", this);
+    checkState(isRequested(), "no backoff: %s", this);
     return length;
   }
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof StatedBackoff that && kind == that.kind && length.equals(that.length);
+    return other instanceof RequestedBackoff that
+        && kind == that.kind
+        && length.equals(that.length);
   }
 
   @Override
@@ -72,6 +75,6 @@
 
   @Override
   public String toString() {
-    return isAsked() ? length.toMillis() + " ms" : kind.name();
+    return isRequested() ? length.toMillis() + " ms" : kind.name();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/state/StorePosition.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/StorePosition.java
@@ -24,11 +24,11 @@
   private static final int ERA_BITS = 26;
 
   /** The highest era that there can be. */
-  public static final long HIGHEST_ERA = (1L << ERA_BITS) - 1;
+  public static final long MAX_ERA = (1L << ERA_BITS) - 1;
 
   /** Checks that it can be numbered. */
   public StorePosition {
-    checkArgument(era >= 0 && era <= HIGHEST_ERA, "era is out of bounds: %s", era);
+    checkArgument(era >= 0 && era <= MAX_ERA, "era is out of bounds: %s", era);
     checkArgument(
         revision >= 0 && revision < 1L << REVISION_BITS, "revision is out of bounds: %s", revision);
   }
@@ -39,25 +39,25 @@
   }
 
   /** Returns a number that is higher for each later position, whatever the era. */
-  public long number() {
+  public long toLong() {
     return era << REVISION_BITS | revision;
   }
 
   @Override
   public int compareTo(StorePosition other) {
-    return Long.compare(number(), other.number());
+    return Long.compare(toLong(), other.toLong());
   }
 
   // Written out: generated ones are linked by method handles, whose classes each start makes anew.
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof StorePosition that && number() == that.number();
+    return other instanceof StorePosition that && toLong() == that.toLong();
   }
 
   @Override
   public int hashCode() {
-    return Long.hashCode(number());
+    return Long.hashCode(toLong());
   }
 
   @Override
--- a/vaneworks/src/main/java/org/vaneworks/state/entry/EntryRoute.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/entry/EntryRoute.java
@@ -46,7 +46,7 @@
    *
    * @param draw a number in [0, 1)
    */
-  public String service(double draw) {
+  public String selectService(double draw) {
     double total = services.stream().mapToDouble(WeightedService::weight).sum();
     double left = draw * total;
     for (WeightedService candidate : services) {
--- a/vaneworks/src/main/java/org/vaneworks/state/entry/ModelProfile.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/entry/ModelProfile.java
@@ -60,12 +60,12 @@
   }
 
   /** Returns how many tokens of requests fit beside the held layers, in each of them. */
-  public double roomTokens(AcceleratorProfile accelerator, int heldLayers) {
-    return roomTokenLayers(accelerator, heldLayers) / heldLayers;
+  public double tokenCapacity(AcceleratorProfile accelerator, int heldLayers) {
+    return tokenLayerCapacity(accelerator, heldLayers) / heldLayers;
   }
 
   /** Returns how many tokens times layers fit beside the held layers. */
-  public double roomTokenLayers(AcceleratorProfile accelerator, int heldLayers) {
+  public double tokenLayerCapacity(AcceleratorProfile accelerator, int heldLayers) {
     double free = accelerator.megabytes() - heldLayers * layerMegabytes;
     return Math.max(0, free / megabytesPerTokenLayer());
   }
--- a/vaneworks/src/main/java/org/vaneworks/telemetry/Counters.java
+++ b/vaneworks/src/main/java/org/vaneworks/telemetry/Counters.java
@@ -12,11 +12,14 @@
 /**
  * The node's counters and timers; docs/METRICS.md lists them.
  *
- * <p>Meters are kept once found: a registry's own look-up makes a name and its labels anew each
- * time. Thread-safe.
+ * <p>Meters are cached, because each lookup in a {@link MeterRegistry} builds the meter's name and
+ * tags again. Thread-safe.
  */
 public final class Counters {
-  /** Upper ends of the histograms' buckets; those of the objectives of a first token are close. */
+  /**
+   * Upper bounds of the histograms' buckets; they are close together around the objectives for the
+   * time to the first token.
+   */
   private static final Duration[] BUCKETS = {
     Duration.ofMillis(5),
     Duration.ofMillis(10),
@@ -36,8 +39,8 @@
   };
 
   private record CounterKey(Metric metric, String reason) {
-    // Written out: generated ones are linked by method handles, whose classes each start makes
-    // anew.
+    // Written out: the generated methods of a record are linked through method handles, whose
+    // classes the JVM has to generate at each start.
 
     @Override
     public boolean equals(Object other) {
@@ -60,33 +63,33 @@
     this.registry = checkNotNull(registry);
   }
 
-  /** Returns counters kept in the registry. */
+  /** Returns counters that register their meters with the given registry. */
   public static Counters in(MeterRegistry registry) {
     return new Counters(registry);
   }
 
-  /** Adds one to a counter with a reason. */
+  /** Adds one to the metric's counter for a reason. */
   public void count(Metric metric, String reason) {
     add(metric, reason, 1);
   }
 
-  /** Adds to a counter with a reason. */
+  /** Adds an amount to the metric's counter for a reason. */
   public void add(Metric metric, String reason, double amount) {
     counter(metric, reason).increment(amount);
   }
 
-  /** Records a duration. */
+  /** Records a duration in the metric's timer. */
   public void record(Metric metric, Duration duration) {
     timers.computeIfAbsent(metric, this::timer).record(duration);
   }
 
-  /** Returns the present value of a counter, 0 if it was never raised. */
+  /** Returns the current value of the metric's counter for a reason; 0 if never incremented. */
   public double value(Metric metric, String reason) {
     return counter(metric, reason).count();
   }
 
-  /** Returns how many durations were recorded. */
-  public long recorded(Metric metric) {
+  /** Returns how many durations were recorded in the metric's timer. */
+  public long timingCount(Metric metric) {
     return timers.computeIfAbsent(metric, this::timer).count();
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/telemetry/EventLog.java
+++ b/vaneworks/src/main/java/org/vaneworks/telemetry/EventLog.java
@@ -13,30 +13,31 @@
 
   private EventLog() {}
 
-  /** Logs an event at info; pairs are key, value, key, value. */
+  /** Logs an event at level info; {@code pairs} alternates keys and values. */
   public static void info(Event event, Object... pairs) {
     log(Level.INFO, event, pairs);
   }
 
-  /** Logs an event at warn; pairs are key, value, key, value. */
+  /** Logs an event at level warn; {@code pairs} alternates keys and values. */
   public static void warn(Event event, Object... pairs) {
     log(Level.WARN, event, pairs);
   }
 
-  /** Logs an event at debug; pairs are key, value, key, value. */
+  /** Logs an event at level debug; {@code pairs} alternates keys and values. */
   public static void debug(Event event, Object... pairs) {
     if (LOGGER.isDebugEnabled()) {
       log(Level.DEBUG, event, pairs);
     }
   }
 
-  /** Logs an event with a stack trace, at error. */
+  /** Logs an event at level error, with the stack trace of its cause. */
   public static void error(Event event, Throwable cause) {
     LOGGER.atError().setCause(cause).addKeyValue("event", event.code()).log(event.text());
   }
 
   private static void log(Level level, Event event, Object... pairs) {
-    checkArgument(pairs.length % 2 == 0, "pairs must be even: %s", pairs.length);
+    checkArgument(
+        pairs.length % 2 == 0, "keys and values must come in pairs, not %s items", pairs.length);
     LoggingEventBuilder builder = LOGGER.atLevel(level).addKeyValue("event", event.code());
     for (int i = 0; i < pairs.length; i += 2) {
       builder = builder.addKeyValue(pairs[i].toString(), pairs[i + 1]);
--- a/vaneworks/src/main/java/org/vaneworks/telemetry/Metric.java
+++ b/vaneworks/src/main/java/org/vaneworks/telemetry/Metric.java
@@ -1,6 +1,6 @@
 package org.vaneworks.telemetry;
 
-/** The names of all meters. */
+/** The node's meters with their names and descriptions. */
 public enum Metric {
   REFUSALS("vaneworks.refusals", "final answers other than success, by reason"),
   VERDICTS("vaneworks.verdicts", "final answers other than success, by verdict"),
@@ -61,12 +61,12 @@
     this.text = text;
   }
 
-  /** Returns the meter's name in Micrometer's form. */
+  /** Returns the meter's name in Micrometer's dotted notation. */
   public String meter() {
     return meter;
   }
 
-  /** Returns what it measures. */
+  /** Returns the meter's description. */
   public String text() {
     return text;
   }
--- a/vaneworks/src/main/java/org/vaneworks/telemetry/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/telemetry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Numbered log events and counters, used by every layer.
+ * Numbered log events, counters and timers, used by every layer.
  *
  * <p>The package sits below {@code state}; it depends on SLF4J and Micrometer only.
  */
--- a/vaneworks/src/main/java/org/vaneworks/transport/BoundedBody.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/BoundedBody.java
@@ -29,7 +29,8 @@
   @CanIgnoreReturnValue
   BoundedBody add(Buffer part) {
     if (bytes.size() + part.readableBytes() > limit) {
-      throw Refusal.before(Reason.BODY_TOO_LARGE, "allowed: " + limit + " bytes").toException();
+      throw Refusal.nothingSent(Reason.BODY_TOO_LARGE, "allowed: " + limit + " bytes")
+          .toException();
     }
     byte[] copy = new byte[part.readableBytes()];
     part.readBytes(copy);
--- a/vaneworks/src/main/java/org/vaneworks/transport/CallerHeaders.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/CallerHeaders.java
@@ -86,6 +86,6 @@
   }
 
   private static RefusalException invalid(String header, String problem) {
-    return Refusal.before(Reason.INVALID_HEADER, header + ": " + problem).toException();
+    return Refusal.nothingSent(Reason.INVALID_HEADER, header + ": " + problem).toException();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/transport/CallerServer.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/CallerServer.java
@@ -102,7 +102,7 @@
     if (failure instanceof InvalidFieldException invalid) {
       Reason reason =
           invalid.field().equals("document") ? Reason.MALFORMED_BODY : Reason.INVALID_FIELD;
-      return Refusal.before(reason, invalid.getMessage());
+      return Refusal.nothingSent(reason, invalid.getMessage());
     }
     if (!(failure instanceof RefusalException)) {
       EventLog.error(Event.REQUEST_FAILED_INSIDE, failure);
@@ -125,7 +125,7 @@
       case "/health/ready" -> readiness(request, answers);
       case "/metrics" -> text(request, answers, HttpResponseStatus.OK, metrics.get());
       case "/status" -> status(request, answers);
-      default -> throw Refusal.before(Reason.UNKNOWN_PATH, request.path()).toException();
+      default -> throw Refusal.nothingSent(Reason.UNKNOWN_PATH, request.path()).toException();
     };
   }
 
@@ -141,7 +141,7 @@
     return body(request)
         .flatMap(
             text -> {
-              CallerJson.Parsed parsed = CallerJson.readCompletion(text);
+              CallerJson.ParsedCompletion parsed = CallerJson.readCompletion(text);
               CompletionAnswer answer = new CompletionAnswer(answers, parsed.stream());
               Runnable cancel = node.gate().complete(workspace, parsed.body(), options, answer);
               return answer.response(cancel);
@@ -181,7 +181,7 @@
     }
     Integer parsed = Ints.tryParse(count);
     if (parsed == null || parsed < 1 || parsed > MAX_TICKETS) {
-      throw Refusal.before(
+      throw Refusal.nothingSent(
               Reason.INVALID_FIELD, "count: is " + count + ", allowed: 1 to " + MAX_TICKETS)
           .toException();
     }
@@ -219,7 +219,7 @@
   private static void checkMethod(StreamingHttpRequest request) {
     HttpRequestMethod allowed = allowedAt(request.path());
     if (!request.method().equals(allowed)) {
-      throw Refusal.before(
+      throw Refusal.nothingSent(
               Reason.METHOD_NOT_ALLOWED, request.method().name() + ", allowed: " + allowed.name())
           .toException();
     }
@@ -228,7 +228,7 @@
   private static void requireJson(StreamingHttpRequest request) {
     CharSequence type = request.headers().get(HttpHeaderNames.CONTENT_TYPE, "");
     if (!type.toString().startsWith(JSON)) {
-      throw Refusal.before(Reason.UNSUPPORTED_MEDIA_TYPE, "content-type is '" + type + "'")
+      throw Refusal.nothingSent(Reason.UNSUPPORTED_MEDIA_TYPE, "content-type is '" + type + "'")
           .toException();
     }
   }
--- a/vaneworks/src/main/java/org/vaneworks/transport/CompletionAnswer.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/CompletionAnswer.java
@@ -75,7 +75,7 @@
   @Override
   public void complete() {
     if (!streamed) {
-      String body = CallerJson.writeWhole(responses.requestId(), tokens);
+      String body = CallerJson.writeCompletion(responses.requestId(), tokens);
       response.complete(responses.plain(HttpResponseStatus.OK, "application/json", body));
       return;
     }
--- a/vaneworks/src/main/java/org/vaneworks/transport/PeerClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/PeerClient.java
@@ -144,7 +144,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, byte[] frame) {
-      PeerCodec.Numbered reply = PeerCodec.decode(frame);
+      PeerCodec.NumberedMessage reply = PeerCodec.decode(frame);
       CompletableFuture<PeerMessage> asked = waiting.remove(reply.id());
       if (asked != null) {
         asked.complete(reply.message());
--- a/vaneworks/src/main/java/org/vaneworks/transport/PeerServer.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/PeerServer.java
@@ -86,7 +86,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, byte[] frame) {
-      PeerCodec.Numbered request = PeerCodec.decode(frame);
+      PeerCodec.NumberedMessage request = PeerCodec.decode(frame);
       counters.count(Metric.PEER_MESSAGES, request.message().getClass().getSimpleName() + "-in");
       executor.execute(
           () ->
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointAnswerHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointAnswerHead.java
@@ -3,7 +3,7 @@
 import io.servicetalk.http.api.HttpResponseMetaData;
 import java.util.Optional;
 import org.vaneworks.coordination.forwarding.AnswerHead;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 
 /**
@@ -20,7 +20,7 @@
     boolean notRun,
     boolean matches,
     Optional<HostPort> obstacle,
-    EndpointStatement statement)
+    EndpointSignal statement)
     implements AnswerHead {
   @Override
   public int status() {
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryAnswer.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryAnswer.java
@@ -104,7 +104,7 @@
 
   /** Refuses before anything was forwarded. */
   Single<StreamingHttpResponse> refused(Reason reason, String detail) {
-    refuse(Refusal.before(reason, detail));
+    refuse(Refusal.nothingSent(reason, detail));
     return response();
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/HeaderDialect.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/HeaderDialect.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.vaneworks.coordination.forwarding.Attempt;
 import org.vaneworks.coordination.relay.RequestSize;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 
 /** Which headers of callers and endpoints carry what. An implementation keeps no state. */
@@ -36,7 +36,7 @@
   Optional<HostPort> obstacle(HttpHeaders headers);
 
   /** Returns what an answer says of its endpoint. */
-  EndpointStatement statement(int status, HttpHeaders headers);
+  EndpointSignal statement(int status, HttpHeaders headers);
 
   /** Returns whether an answer belongs to the request of that id. */
   boolean matches(HttpHeaders headers, String requestId);
