--- a/vaneworks/src/main/java/org/vaneworks/protocol/CallerJson.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/CallerJson.java
@@ -7,10 +7,11 @@
 import org.vaneworks.state.Refusal;
 
 /**
- * The callers' documents: the widely used chat-completions form, and problem details (RFC 9457).
+ * Reads and writes the documents exchanged with callers: the widely used chat-completions format
+ * and problem details (RFC 9457).
  */
 public final class CallerJson {
-  /** Media type of a problem. */
+  /** Media type of problem details. */
   public static final String PROBLEM = "application/problem+json";
 
   private static final int MAX_TOKENS = 32_768;
@@ -18,17 +19,17 @@
   private CallerJson() {}
 
   /**
-   * A completion with the form that its answer is wanted in.
+   * A completion request with the requested form of its answer.
    *
-   * @param body what is asked
-   * @param stream whether as server-sent events
+   * @param body prompt and token limit
+   * @param stream whether the answer is sent as server-sent events
    */
   public record ParsedCompletion(CompletionBody body, boolean stream) {}
 
   /**
-   * Reads a completion; fields of the form that are not used here are let through.
+   * Reads a completion request. Fields of the format that this class does not use are ignored.
    *
-   * @throws InvalidFieldException naming the field that is not accepted
+   * @throws InvalidFieldException if a field is missing or invalid
    */
   public static ParsedCompletion readCompletion(String text) {
     FieldReader fields = FieldReader.of("", Json.parse(text));
@@ -51,7 +52,7 @@
         new CompletionBody(prompt.toString(), maxTokens), fields.bool("stream", false));
   }
 
-  /** Returns the document of one streamed token. */
+  /** Returns the document of one token of a streamed answer. */
   public static String writeChunk(String id, String token) {
     ObjectNode node = completion(id, "chat.completion.chunk");
     ObjectNode choice = node.putArray("choices").addObject().put("index", 0);
@@ -60,7 +61,7 @@
     return Json.write(node);
   }
 
-  /** Returns the document that ends a whole streamed answer. */
+  /** Returns the document that ends a complete streamed answer. */
   public static String writeLastChunk(String id) {
     ObjectNode node = completion(id, "chat.completion.chunk");
     ObjectNode choice = node.putArray("choices").addObject().put("index", 0);
@@ -69,7 +70,7 @@
     return Json.write(node);
   }
 
-  /** Returns the document of a whole answer. */
+  /** Returns the document of an answer that is not streamed. */
   public static String writeCompletion(String id, List<String> tokens) {
     ObjectNode node = completion(id, "chat.completion");
     ObjectNode choice = node.putArray("choices").addObject().put("index", 0);
@@ -83,12 +84,12 @@
     return Json.object().put("id", id).put("object", object);
   }
 
-  /** Returns the document of issued tickets. */
+  /** Returns the document that lists issued tickets. */
   public static String writeTickets(List<String> tickets) {
     return Json.write(Json.object().set("tickets", Json.texts(tickets)));
   }
 
-  /** Returns the document of a refusal or failure. */
+  /** Returns the problem details of a refusal or failure. */
   public static String writeProblem(Refusal refusal) {
     ObjectNode node =
         Json.object()
--- a/vaneworks/src/main/java/org/vaneworks/protocol/ClaimJson.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/ClaimJson.java
@@ -5,7 +5,10 @@
 import org.vaneworks.coordination.once.Claim;
 import org.vaneworks.coordination.once.ClaimFormat;
 
-/** Claim shards as JSON; field names are short because a document holds thousands of claims. */
+/**
+ * Encodes the claims of a shard as JSON. Field names are short because a document contains
+ * thousands of claims.
+ */
 public final class ClaimJson implements ClaimFormat {
   private static final String KEY = "k";
   private static final String HOLDER = "h";
@@ -14,7 +17,7 @@
 
   private ClaimJson() {}
 
-  /** Returns the format. */
+  /** Returns an instance of the format. */
   public static ClaimJson create() {
     return new ClaimJson();
   }
--- a/vaneworks/src/main/java/org/vaneworks/protocol/ConfigurationJson.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/ConfigurationJson.java
@@ -11,11 +11,11 @@
 import org.vaneworks.state.Template;
 import org.vaneworks.state.Workspace;
 
-/** Head and pages as JSON. */
+/** Encodes the head and the pages of the configuration as JSON. */
 public final class ConfigurationJson implements ConfigurationFormat {
   private ConfigurationJson() {}
 
-  /** Returns the format. */
+  /** Returns an instance of the format. */
   public static ConfigurationJson create() {
     return new ConfigurationJson();
   }
--- a/vaneworks/src/main/java/org/vaneworks/protocol/EngineJson.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/EngineJson.java
@@ -15,30 +15,30 @@
 import org.vaneworks.state.Priority;
 import org.vaneworks.state.StreamId;
 
-/** The messages of model engines, and the status that every endpoint gives. */
+/** The messages of model engines, and the status document of all endpoints. */
 public final class EngineJson {
-  /** Asks an endpoint for its status. */
+  /** Path for reading an endpoint's status. */
   public static final String STATUS_PATH = "/status";
 
-  /** Runs a step. */
+  /** Path for running a step. */
   public static final String STEP_PATH = "/step";
 
-  /** Ends a session. */
+  /** Path for ending a session. */
   public static final String END_PATH = "/end";
 
-  /** Copies a session out. */
+  /** Path for exporting a session. */
   public static final String EXPORT_PATH = "/export";
 
-  /** Puts a session in. */
+  /** Path for importing a session. */
   public static final String IMPORT_PATH = "/import";
 
-  /** A plain service's calls stand below this path. */
+  /** Parent path of the calls of plain services. */
   public static final String CALL_PATH = "/call";
 
-  /** On a refusal of which nothing ran: why. */
+  /** Header of a response that refuses a request before any part of it ran; holds the cause. */
   public static final String REFUSED_HEADER = "vaneworks-refused";
 
-  /** The refusal of an endpoint that has too much to do. */
+  /** Value of {@link #REFUSED_HEADER} from an overloaded endpoint. */
   public static final String OVERLOADED = "overloaded";
 
   private EngineJson() {}
@@ -113,7 +113,7 @@
         fields.oneOf("priority", Priority.class, Priority.NORMAL));
   }
 
-  /** Returns the document of a step's reply. */
+  /** Returns the document of a reply to a step. */
   public static String writeReply(StepReply reply) {
     ObjectNode node =
         writeSession(reply.session()).put("step", reply.step()).put("output", reply.output());
@@ -123,7 +123,7 @@
     return Json.write(node);
   }
 
-  /** Reads a step's reply. */
+  /** Reads a reply to a step. */
   public static StepReply readReply(String text) {
     FieldReader fields = FieldReader.of("reply", Json.parse(text));
     return new StepReply(
@@ -133,7 +133,7 @@
         fields.texts("historyOutputs"));
   }
 
-  /** Returns the document of a session's name. */
+  /** Returns the document of a session id. */
   public static ObjectNode writeSession(SessionId session) {
     ObjectNode node =
         Json.object()
@@ -145,7 +145,7 @@
     return node;
   }
 
-  /** Reads a session's name. */
+  /** Reads a session id. */
   public static SessionId readSession(FieldReader fields) {
     StreamId stream =
         new StreamId(
@@ -156,7 +156,7 @@
         stream, fields.integer("epoch", 1, Integer.MAX_VALUE), readRange(fields.object("layers")));
   }
 
-  /** Reads a session's name from a document of its own. */
+  /** Reads a session id from a separate document. */
   public static SessionId readSession(String text) {
     return readSession(FieldReader.of("session", Json.parse(text)));
   }
@@ -182,20 +182,20 @@
         fields.text("state", ""));
   }
 
-  /** Returns the document that asks to import a session under another name. */
-  public static String writeImport(SessionId as, SessionExport export) {
+  /** Returns the request to import a session under another id. */
+  public static String writeImport(SessionId target, SessionExport export) {
     ObjectNode node = Json.object();
-    node.set("as", writeSession(as));
+    node.set("as", writeSession(target));
     node.set("export", exportNode(export));
     return Json.write(node);
   }
 
-  /** Reads under which name a session is to be imported. */
+  /** Reads the id of the new session from a request to import. */
   public static SessionId readImportTarget(JsonNode node) {
     return readSession(FieldReader.of("", node).object("as"));
   }
 
-  /** Reads the session that is to be imported. */
+  /** Reads the exported session from a request to import. */
   public static SessionExport readImportSource(JsonNode node) {
     return readExport(FieldReader.of("", node).object("export"));
   }
--- a/vaneworks/src/main/java/org/vaneworks/protocol/FieldReader.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/FieldReader.java
@@ -15,22 +15,22 @@
 import org.vaneworks.state.HostPort;
 
 /**
- * Reads the fields of one object of a document, checking each.
+ * Reads and validates the fields of one object of a document.
  *
- * <p>A reader made by {@link #of} throws {@link InvalidFieldException} at the first problem, naming
- * the field, its value and what is allowed. One made by {@link #collecting} goes on with a value
- * that means nothing, and {@link #throwIfInvalid} throws with all problems; what was read must not
- * be used before that. Not thread-safe.
+ * <p>A reader made by {@link #of} throws an {@link InvalidFieldException} at the first problem; the
+ * message names the field, its value and the allowed values. A reader made by {@link #collecting}
+ * returns a placeholder for an invalid value and continues; {@link #throwIfInvalid} then reports
+ * all problems, and the values must not be used before. Not thread-safe.
  */
 public final class FieldReader {
-  /** Stands in for an address that is not accepted. */
-  private static final HostPort NO_ADDRESS = new HostPort("0.0.0.0", 0);
+  /** Placeholder for an invalid address. */
+  private static final HostPort PLACEHOLDER_ADDRESS = new HostPort("0.0.0.0", 0);
 
   private final String path;
   private final JsonNode node;
   private final Consumer<InvalidFieldException> problems;
   private final List<InvalidFieldException> collected;
-  private final Set<String> read = new HashSet<>();
+  private final Set<String> namesRead = new HashSet<>();
 
   private FieldReader(
       String path,
@@ -46,7 +46,7 @@
   /**
    * Returns a reader of an object.
    *
-   * @param path where the object stands, for messages; empty at the top
+   * @param path path of the object in the document, for error messages; empty for the root
    */
   public static FieldReader of(String path, JsonNode node) {
     checkNotNull(path);
@@ -57,9 +57,9 @@
   }
 
   /**
-   * Returns a reader of a whole document that notes problems until {@link #throwIfInvalid}.
+   * Returns a reader of a document that collects problems until {@link #throwIfInvalid}.
    *
-   * @throws InvalidFieldException if the document is no object
+   * @throws InvalidFieldException if the document is not an object
    */
   public static FieldReader collecting(JsonNode node) {
     FieldReader checked = FieldReader.of("", node);
@@ -72,9 +72,9 @@
   }
 
   /**
-   * Checks that all that was read is accepted, by this reader and those that it gave out.
+   * Checks that this reader, and the readers of nested objects made by it, found no problem.
    *
-   * @throws InvalidFieldException with a line for each problem
+   * @throws InvalidFieldException if there are problems; the message has a line for each
    */
   public void throwIfInvalid() {
     if (!collected.isEmpty()) {
@@ -82,27 +82,27 @@
     }
   }
 
-  /** Throws, or notes a problem with a field. */
+  /** Throws an exception for a problem with a field, or collects it. */
   public void reject(String name, String problem) {
     problems.accept(invalid(name, problem));
   }
 
-  private <T> T reject(String name, String problem, T standIn) {
+  private <T> T reject(String name, String problem, T placeholder) {
     reject(name, problem);
-    return standIn;
+    return placeholder;
   }
 
-  /** Returns where a field stands. */
+  /** Returns the path of a field in the document. */
   public String pathOf(String name) {
     return path.isEmpty() ? name : path + "." + name;
   }
 
-  /** Returns whether the field is given. */
+  /** Returns whether the field is present and not null. */
   public boolean has(String name) {
     return find(name).isPresent();
   }
 
-  /** Returns a text that must be given and not be empty. */
+  /** Returns a required string that must not be empty. */
   public String text(String name) {
     Optional<String> text = scalar(name);
     if (text.isEmpty()) {
@@ -111,23 +111,23 @@
     return text.get().isEmpty() ? reject(name, "must not be empty", "") : text.get();
   }
 
-  /** Returns a text, or the default. */
+  /** Returns a string, or the default if it is absent. */
   public String text(String name, String defaultValue) {
     return scalar(name).orElse(defaultValue);
   }
 
-  /** Returns a text if it is given. */
+  /** Returns a string, or empty if it is absent. */
   public Optional<String> optionalText(String name) {
     return scalar(name);
   }
 
-  /** Returns an IP number and port that must be given. */
+  /** Returns a required IP address with a port. */
   public HostPort address(String name) {
     String text = text(name);
-    return text.isEmpty() ? NO_ADDRESS : parseAddress(name, text);
+    return text.isEmpty() ? PLACEHOLDER_ADDRESS : parseAddress(name, text);
   }
 
-  /** Returns an IP number and port if they are given. */
+  /** Returns an IP address with a port, or empty if it is absent. */
   public Optional<HostPort> optionalAddress(String name) {
     return has(name) ? Optional.of(address(name)) : Optional.empty();
   }
@@ -136,21 +136,24 @@
     try {
       return HostPort.parse(text);
     } catch (IllegalArgumentException e) {
-      return reject(name, "is " + text + ", allowed: IP number and port", NO_ADDRESS);
+      return reject(name, "is " + text + ", allowed: IP number and port", PLACEHOLDER_ADDRESS);
     }
   }
 
-  /** Returns an integer that must be given, within bounds. */
+  /** Returns a required integer between {@code min} and {@code max}, inclusive. */
   public int integer(String name, int min, int max) {
     return (int) longInteger(name, min, max);
   }
 
-  /** Returns an integer within bounds, or the default. */
+  /**
+   * Returns an integer between {@code min} and {@code max}, inclusive, or the default if it is
+   * absent.
+   */
   public int integer(String name, int min, int max, int defaultValue) {
     return has(name) ? integer(name, min, max) : defaultValue;
   }
 
-  /** Returns a long integer that must be given, within bounds. */
+  /** Returns a required long integer between {@code min} and {@code max}, inclusive. */
   public long longInteger(String name, long min, long max) {
     Optional<JsonNode> value = find(name);
     if (value.isEmpty()) {
@@ -167,7 +170,10 @@
     return number;
   }
 
-  /** Returns a number within bounds, or the default. */
+  /**
+   * Returns a number between {@code min} and {@code max}, inclusive, or the default if it is
+   * absent.
+   */
   public double number(String name, double min, double max, double defaultValue) {
     Optional<JsonNode> value = find(name);
     if (value.isEmpty()) {
@@ -184,7 +190,7 @@
     return number;
   }
 
-  /** Returns a boolean, or the default. */
+  /** Returns a boolean, or the default if it is absent. */
   public boolean bool(String name, boolean defaultValue) {
     Optional<JsonNode> value = find(name);
     if (value.isEmpty()) {
@@ -196,7 +202,10 @@
     return value.get().booleanValue();
   }
 
-  /** Returns one of an enumeration's values, or the default; case and dashes don't matter. */
+  /**
+   * Returns a constant of an enum, or the default if it is absent. The case is ignored, and dashes
+   * stand for underscores.
+   */
   public <E extends Enum<E>> E oneOf(String name, Class<E> type, E defaultValue) {
     Optional<String> text = scalar(name);
     if (text.isEmpty()) {
@@ -219,27 +228,27 @@
     return String.join(", ", names.build());
   }
 
-  /** Returns a reader of an object that must be given. */
+  /** Returns a reader of a required nested object. */
   public FieldReader object(String name) {
     Optional<JsonNode> value = find(name);
     if (value.isEmpty()) {
       reject(name, "must be given");
     }
-    return part(pathOf(name), value.orElseGet(Json::object));
+    return nested(pathOf(name), value.orElseGet(Json::object));
   }
 
-  /** Returns a reader of an object, of an empty one if it isn't given. */
+  /** Returns a reader of a nested object; an absent object is read as empty. */
   public FieldReader objectOrEmpty(String name) {
     Optional<JsonNode> value = find(name);
-    return part(pathOf(name), value.orElseGet(Json::object));
+    return nested(pathOf(name), value.orElseGet(Json::object));
   }
 
-  private FieldReader part(String partPath, JsonNode part) {
-    if (!part.isObject()) {
-      problems.accept(new InvalidFieldException(partPath, "must be an object"));
-      return new FieldReader(partPath, Json.object(), problems, collected);
+  private FieldReader nested(String nestedPath, JsonNode value) {
+    if (!value.isObject()) {
+      problems.accept(new InvalidFieldException(nestedPath, "must be an object"));
+      return new FieldReader(nestedPath, Json.object(), problems, collected);
     }
-    return new FieldReader(partPath, part, problems, collected);
+    return new FieldReader(nestedPath, value, problems, collected);
   }
 
   /** Returns readers of a list of objects; an absent list is empty. */
@@ -247,12 +256,12 @@
     ImmutableList.Builder<FieldReader> readers = ImmutableList.builder();
     int index = 0;
     for (JsonNode element : list(name)) {
-      readers.add(part(pathOf(name) + "[" + index++ + "]", element));
+      readers.add(nested(pathOf(name) + "[" + index++ + "]", element));
     }
     return readers.build();
   }
 
-  /** Returns a list of texts; an absent list is empty. */
+  /** Returns a list of strings; an absent list is empty. */
   public ImmutableList<String> texts(String name) {
     ImmutableList.Builder<String> texts = ImmutableList.builder();
     for (JsonNode element : list(name)) {
@@ -264,7 +273,7 @@
     return texts.build();
   }
 
-  /** Returns an object's fields as texts; an absent object is empty. */
+  /** Returns the fields of a nested object as strings; an absent object is empty. */
   public ImmutableMap<String, String> textMap(String name) {
     FieldReader object = objectOrEmpty(name);
     ImmutableMap.Builder<String, String> texts = ImmutableMap.builder();
@@ -283,18 +292,18 @@
     return value.get();
   }
 
-  /** Checks that the object has no field that was not asked for. */
+  /** Rejects each field of the object that was not read. */
   public void rejectUnknown() {
     node.fieldNames()
         .forEachRemaining(
             name -> {
-              if (!read.contains(name)) {
-                reject(name, "is not a known field, known: " + String.join(", ", read));
+              if (!namesRead.contains(name)) {
+                reject(name, "is not a known field, known: " + String.join(", ", namesRead));
               }
             });
   }
 
-  /** Returns the exception that says what is wrong with a field. */
+  /** Returns the exception for a problem with a field, without throwing or collecting it. */
   public InvalidFieldException invalid(String name, String problem) {
     return new InvalidFieldException(pathOf(name), problem);
   }
@@ -308,7 +317,7 @@
   }
 
   private Optional<JsonNode> find(String name) {
-    read.add(name);
+    namesRead.add(name);
     return Optional.ofNullable(node.get(name)).filter(value -> !value.isNull());
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/protocol/InvalidFieldException.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/InvalidFieldException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Says which field of a document is not accepted, and what is allowed. */
+/** Thrown if a field of a document is missing or invalid; the message says what is allowed. */
 public final class InvalidFieldException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
@@ -14,7 +14,7 @@
     this.field = field;
   }
 
-  /** Returns one exception for several problems, named after the first field. */
+  /** Returns one exception with the messages of all problems and the field of the first. */
   static InvalidFieldException all(List<InvalidFieldException> problems) {
     InvalidFieldException first = problems.get(0);
     if (problems.size() == 1) {
@@ -29,7 +29,7 @@
     return new InvalidFieldException(first.field(), problem + "\n" + others);
   }
 
-  /** Returns the field's path. */
+  /** Returns the path of the field in its document. */
   public String field() {
     return field;
   }
--- a/vaneworks/src/main/java/org/vaneworks/protocol/Json.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/Json.java
@@ -43,7 +43,7 @@
     return JsonNodeFactory.instance.arrayNode();
   }
 
-  /** Returns a list of texts. */
+  /** Returns a list of strings. */
   static ArrayNode texts(Iterable<String> texts) {
     ArrayNode list = list();
     texts.forEach(list::add);
@@ -53,7 +53,7 @@
   /**
    * Parses a JSON document.
    *
-   * @throws InvalidFieldException if it is none
+   * @throws InvalidFieldException if the text is not valid JSON
    */
   public static JsonNode parse(String text) {
     try {
@@ -70,7 +70,7 @@
   /**
    * Parses the documents of a YAML file.
    *
-   * @throws InvalidFieldException if they are none
+   * @throws InvalidFieldException if the text is not valid YAML
    */
   public static ImmutableList<JsonNode> parseYaml(String text) {
     try (var documents = YAML.readerFor(JsonNode.class).<JsonNode>readValues(text)) {
@@ -81,12 +81,12 @@
     }
   }
 
-  /** Returns the JSON text of a tree, on one line. */
+  /** Returns a tree as JSON on one line. */
   public static String write(JsonNode node) {
     return node.toString();
   }
 
-  /** Returns the YAML text of a tree. */
+  /** Returns a tree as YAML. */
   public static String writeYaml(JsonNode node) {
     try {
       return YAML.writeValueAsString(node);
--- a/vaneworks/src/main/java/org/vaneworks/protocol/LoadCodec.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/LoadCodec.java
@@ -12,17 +12,17 @@
 import org.vaneworks.protocol.generated.LoadProto;
 import org.vaneworks.state.AdvertisedRateLimit;
 
-/** Load reports as bytes; memory is rounded to thousands of tokens times layers. */
+/** Encodes load reports as protobuf. Tokens times layers are rounded to thousands. */
 public final class LoadCodec {
   private static final long THOUSAND = 1000;
 
   private static final double HUNDREDTHS = 100;
 
-  /** In place of a limit that is over. */
+  /** Encodes that an earlier limit no longer applies. */
   private static final int NO_LIMIT = -1;
 
-  /** Two million requests a second: no limit. */
-  private static final int MOST_THOUSANDTHS = Integer.MAX_VALUE;
+  /** The highest limit that can be encoded: two million requests per second, in effect no limit. */
+  private static final int MAX_THOUSANDTHS = Integer.MAX_VALUE;
 
   private LoadCodec() {}
 
@@ -54,14 +54,14 @@
   /**
    * Decodes a report.
    *
-   * @throws IllegalArgumentException if the bytes are none
+   * @throws IllegalArgumentException if the bytes are not a load report
    */
   public static LoadReport decode(byte[] bytes) {
     LoadProto.LoadReport message = parse(bytes);
     int count = message.getEndpointKeyCount();
-    boolean parallel =
+    boolean sameLength =
         message.getRequestsCount() == count && message.getThousandTokenLayersCount() == count;
-    checkArgument(parallel, "the lists of a report differ in length");
+    checkArgument(sameLength, "the lists of a report differ in length");
     ImmutableList.Builder<EndpointLoad> loads = ImmutableList.builder();
     for (int i = 0; i < count; i++) {
       loads.add(
@@ -79,7 +79,7 @@
       slow.add(new EnginePace(message.getSlowKey(i), pace));
     }
     ImmutableList<EndpointLimit> limits = limits(message);
-    // A report that names no number is of one node.
+    // A report without a number of nodes covers one node.
     int nodes = Math.max(1, message.getNodes());
     return new LoadReport(
         message.getSender(),
@@ -91,27 +91,27 @@
         message.getConfiguration());
   }
 
-  private static int thousandths(AdvertisedRateLimit stated) {
-    if (!stated.isLimited()) {
+  private static int thousandths(AdvertisedRateLimit limit) {
+    if (!limit.isLimited()) {
       return NO_LIMIT;
     }
-    return (int) Math.min(MOST_THOUSANDTHS, Math.round(stated.perSecond() * THOUSAND));
+    return (int) Math.min(MAX_THOUSANDTHS, Math.round(limit.perSecond() * THOUSAND));
   }
 
   private static ImmutableList<EndpointLimit> limits(LoadProto.LoadReport message) {
     int count = message.getLimitKeyCount();
-    boolean parallel =
+    boolean sameLength =
         message.getLimitThousandthsCount() == count && message.getLimitAgeMillisCount() == count;
-    checkArgument(parallel, "the lists of limits differ in length");
+    checkArgument(sameLength, "the lists of limits differ in length");
     ImmutableList.Builder<EndpointLimit> limits = ImmutableList.builder();
     for (int i = 0; i < count; i++) {
       int thousandths = message.getLimitThousandths(i);
-      AdvertisedRateLimit stated =
+      AdvertisedRateLimit limit =
           thousandths == NO_LIMIT
               ? AdvertisedRateLimit.none()
               : AdvertisedRateLimit.of((double) thousandths / THOUSAND);
       Duration age = Duration.ofMillis(message.getLimitAgeMillis(i));
-      limits.add(new EndpointLimit(message.getLimitKey(i), stated, age));
+      limits.add(new EndpointLimit(message.getLimitKey(i), limit, age));
     }
     return limits.build();
   }
--- a/vaneworks/src/main/java/org/vaneworks/protocol/OnceCodec.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/OnceCodec.java
@@ -18,7 +18,7 @@
 import org.vaneworks.state.Refusal;
 import org.vaneworks.state.Verdict;
 
-/** Requests that run at most once, and their records, as protobuf. */
+/** Encodes requests that run at most once, and their records, as protobuf messages. */
 final class OnceCodec {
   private OnceCodec() {}
 
--- a/vaneworks/src/main/java/org/vaneworks/protocol/PeerCodec.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/PeerCodec.java
@@ -20,19 +20,19 @@
 import org.vaneworks.state.EndpointId;
 import org.vaneworks.state.HostPort;
 
-/** The peers' messages as protobuf; {@code peer.proto} is the schema. */
+/** Encodes the messages between nodes as protobuf; {@code peer.proto} is the schema. */
 public final class PeerCodec {
   private PeerCodec() {}
 
   /**
-   * A message with the number that matches replies with requests.
+   * A message with the id that correlates a reply with its request.
    *
-   * @param id the number, unique on its connection
+   * @param id the id, unique on its connection
    * @param message the message
    */
   public record NumberedMessage(long id, PeerMessage message) {}
 
-  /** Returns the bytes of a message. */
+  /** Encodes a message with its id. */
   public static byte[] encode(long id, PeerMessage message) {
     Envelope.Builder envelope = Envelope.newBuilder().setId(id);
     if (message instanceof PeerMessage.Ping ping) {
@@ -85,9 +85,9 @@
   }
 
   /**
-   * Returns the message that the bytes stand for.
+   * Decodes a message.
    *
-   * @throws IllegalArgumentException if they stand for none
+   * @throws IllegalArgumentException if the bytes are not a valid message
    */
   public static NumberedMessage decode(byte[] bytes) {
     try {
--- a/vaneworks/src/main/java/org/vaneworks/protocol/PlatformJson.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/PlatformJson.java
@@ -7,18 +7,18 @@
 import org.vaneworks.coordination.store.StoreEntry;
 import org.vaneworks.state.HostPort;
 
-/** The messages of the platform's store and box list. */
+/** The messages of the platform's store and of its box list. */
 public final class PlatformJson {
-  /** Asks for a key's entry; query {@code key}. */
+  /** Path for reading the entry of a key; query parameter {@code key}. */
   public static final String READ_PATH = "/kv";
 
-  /** Swaps a key's value. */
+  /** Path for a compare-and-swap of a key's value. */
   public static final String SWAP_PATH = "/cas";
 
-  /** Waits for a newer entry; query {@code key}, {@code after}, {@code waitMs}. */
+  /** Path for waiting for a newer entry; parameters {@code key}, {@code after}, {@code waitMs}. */
   public static final String WATCH_PATH = "/watch";
 
-  /** Lists the boxes. */
+  /** Path for listing the boxes. */
   public static final String BOXES_PATH = "/boxes";
 
   private PlatformJson() {}
@@ -41,13 +41,13 @@
         fields.text("value", ""));
   }
 
-  /** Returns the document that asks to swap a value. */
+  /** Returns the request for a compare-and-swap. */
   public static String writeSwap(String key, long expectedRevision, String value) {
     return Json.write(
         Json.object().put("key", key).put("expected", expectedRevision).put("value", value));
   }
 
-  /** Reads the revision that a swap made. */
+  /** Reads the revision that a compare-and-swap created. */
   public static long readRevision(String text) {
     return FieldReader.of("swap", Json.parse(text)).longInteger("revision", 1, Long.MAX_VALUE);
   }
--- a/vaneworks/src/main/java/org/vaneworks/protocol/ResourceJson.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/ResourceJson.java
@@ -15,7 +15,10 @@
 import org.vaneworks.state.Template;
 import org.vaneworks.state.Workspace;
 
-/** The document form of templates and workspaces: operators' YAML and the pages' JSON. */
+/**
+ * Reads and writes templates and workspaces as trees, for operators' YAML files and for the JSON of
+ * configuration pages.
+ */
 public final class ResourceJson {
   private static final int MAX_STRING = 4096;
 
@@ -25,7 +28,7 @@
    * Reads a resource.
    *
    * @return a {@link Template} or a {@link Workspace}
-   * @throws InvalidFieldException naming the field that is not accepted
+   * @throws InvalidFieldException if a field is missing, unknown or invalid
    */
   public static Record read(JsonNode node) {
     FieldReader fields = FieldReader.of("", node);
--- a/vaneworks/src/main/java/org/vaneworks/protocol/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/package-info.java
@@ -1,2 +1,2 @@
-/** Typed messages and their codecs: what each outside system and each peer says. */
+/** Codecs for the messages exchanged with callers, endpoints, the platform and peers. */
 package org.vaneworks.protocol;
--- a/vaneworks/src/main/java/org/vaneworks/state/AdvertisedRateLimit.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/AdvertisedRateLimit.java
@@ -4,7 +4,8 @@
 import static com.google.common.base.Preconditions.checkState;
 
 /**
- * What an answer says about how many requests a second its endpoint takes from all nodes together.
+ * The rate limit that an endpoint advertises in a response: requests per second that it accepts
+ * from all nodes together.
  *
  * <p>Immutable.
  */
@@ -26,12 +27,12 @@
     this.perSecond = perSecond;
   }
 
-  /** Returns what an answer says that names no limit: there is none, or none any more. */
+  /** Returns the value for a response without a limit; an earlier limit no longer applies. */
   public static AdvertisedRateLimit none() {
     return NONE;
   }
 
-  /** Returns a limit in requests a second; 0 takes none. */
+  /** Returns a limit in requests per second; with 0, the endpoint accepts no requests. */
   public static AdvertisedRateLimit of(double perSecond) {
     checkArgument(
         perSecond >= 0 && perSecond < Double.POSITIVE_INFINITY,
@@ -40,22 +41,28 @@
     return new AdvertisedRateLimit(Kind.LIMITED, perSecond);
   }
 
-  /** Returns what an answer says whose limit can't be read: nothing, whatever was known before. */
+  /**
+   * Returns the value for a response whose limit can't be parsed; it does not change a known limit.
+   */
   public static AdvertisedRateLimit unreadable() {
     return UNREADABLE;
   }
 
-  /** Returns whether it is a limit. */
+  /** Returns whether the endpoint advertises a limit. */
   public boolean isLimited() {
     return kind == Kind.LIMITED;
   }
 
-  /** Returns whether the answer names a limit that can't be read. */
+  /** Returns whether the response contains a limit that can't be parsed. */
   public boolean isUnreadable() {
     return kind == Kind.UNREADABLE;
   }
 
-  /** Returns the requests a second that the endpoint takes; it must be a limit. */
+  /**
+   * Returns the limit in requests per second.
+   *
+   * @throws IllegalStateException if there is no limit
+   */
   public double perSecond() {
     checkState(isLimited(), "no limit: %s", this);
     return perSecond;
--- a/vaneworks/src/main/java/org/vaneworks/state/ChangeRecord.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/ChangeRecord.java
@@ -1,13 +1,13 @@
 package org.vaneworks.state;
 
 /**
- * One accepted change of the configuration.
+ * An entry in the history of accepted configuration changes.
  *
- * @param version the version that it made
- * @param changeId its unique name
- * @param author who made it
- * @param atMillis when, by the operator's clock, milliseconds since 1970
- * @param summary what it did
+ * @param version the configuration version that the change created
+ * @param changeId the unique id of the change
+ * @param author who made the change
+ * @param atMillis time of the change by the operator's clock, in milliseconds since the epoch
+ * @param summary description of the change
  */
 public record ChangeRecord(
     long version, String changeId, String author, long atMillis, String summary) {}
--- a/vaneworks/src/main/java/org/vaneworks/state/ConfigurationHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/ConfigurationHead.java
@@ -6,25 +6,26 @@
 import com.google.common.collect.ImmutableSortedMap;
 
 /**
- * The one mutable value of the configuration: which pages are in force.
+ * The only mutable value of the stored configuration: lists the pages that are active.
  *
- * @param version counts accepted changes, from 1; 0 is the empty configuration
- * @param changeId names the change that made this head; settles lost answers
- * @param pages page number to content hash
- * @param history the newest changes, newest first, at most {@link #HISTORY}
+ * @param version number of accepted changes; 0 is the empty configuration
+ * @param changeId id of the change that created this head; shows whether a write whose answer was
+ *     lost took effect
+ * @param pages content hashes by page number
+ * @param history the latest changes, newest first, at most {@link #HISTORY}
  */
 public record ConfigurationHead(
     long version,
     String changeId,
     ImmutableSortedMap<Integer, String> pages,
     ImmutableList<ChangeRecord> history) {
-  /** The head's key in the platform's store. */
+  /** Key of the head in the platform's store. */
   public static final String KEY = "vaneworks/head";
 
-  /** How many pages the resources are spread over; see docs/CAPACITY.md for why. */
+  /** Number of pages that the resources are distributed over; docs/CAPACITY.md gives the reason. */
   public static final int PAGES = 256;
 
-  /** How many changes the head remembers. */
+  /** Maximum number of changes in the history. */
   public static final int HISTORY = 50;
 
   /** The configuration before the first change. */
@@ -36,18 +37,18 @@
     checkArgument(version >= 0, "version must not be negative: %s", version);
   }
 
-  /** Returns the key of an immutable page in the platform's store. */
+  /** Returns the key of an immutable page in the platform's store, by its content hash. */
   public static String pageKey(String hash) {
     return "vaneworks/page/" + hash;
   }
 
-  /** Returns the key under which a change's head is kept for rollback. */
+  /** Returns the key under which the head that a change created is archived for rollback. */
   public static String archiveKey(String changeId) {
     return "vaneworks/archive/" + changeId;
   }
 
-  /** Returns whether the change made this head or is among those that it remembers. */
-  public boolean historyContains(String change) {
-    return history.stream().anyMatch(record -> record.changeId().equals(change));
+  /** Returns whether the history of this head contains the change. */
+  public boolean historyContains(String id) {
+    return history.stream().anyMatch(record -> record.changeId().equals(id));
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/state/ConfigurationSnapshot.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/ConfigurationSnapshot.java
@@ -12,7 +12,11 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A whole, validated configuration: every workspace with its template filled in. */
+/**
+ * A complete and validated configuration, with the resolved plan of every workspace.
+ *
+ * <p>Immutable.
+ */
 public final class ConfigurationSnapshot {
   private static final ConfigurationSnapshot EMPTY =
       new ConfigurationSnapshot(0, ImmutableSortedMap.of(), ImmutableSortedMap.of());
@@ -38,11 +42,12 @@
   }
 
   /**
-   * Returns the configuration made of the given resources.
+   * Returns the configuration that consists of the given resources.
    *
-   * <p>Takes time linear in the number of resources.
+   * <p>Runs in time linear in the number of resources.
    *
-   * @throws IllegalArgumentException naming resource and field, if it is not valid as a whole
+   * @throws IllegalArgumentException if the configuration is not valid as a whole; the message
+   *     names each offending resource and field
    */
   public static ConfigurationSnapshot of(
       long version, Iterable<Template> templates, Iterable<Workspace> workspaces) {
@@ -88,7 +93,7 @@
     return problems.build();
   }
 
-  /** Returns the version of the head that this configuration was read under. */
+  /** Returns the version of the head that lists the pages of this configuration. */
   public long version() {
     return version;
   }
@@ -103,7 +108,7 @@
     return workspaces;
   }
 
-  /** Returns the filled-in template of a workspace. */
+  /** Returns the resolved plan of a workspace, if the workspace exists. */
   public Optional<WorkspacePlan> plan(String workspace) {
     return Optional.ofNullable(plans.get(workspace));
   }
--- a/vaneworks/src/main/java/org/vaneworks/state/Endpoint.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/Endpoint.java
@@ -6,15 +6,15 @@
 import java.util.Optional;
 
 /**
- * An endpoint as it describes itself.
+ * Description of an endpoint, as the endpoint reports it.
  *
  * @param id box and incarnation
- * @param address where it listens
- * @param dataCentre where its box stands
- * @param serves the model's or the plain service's name
- * @param layers the layers it holds; empty for a plain service
+ * @param address the address that it listens on
+ * @param dataCentre the data centre of its box
+ * @param serves name of the model or of the plain service
+ * @param layers the layers that it holds; empty for a plain service
  * @param accelerator kind of accelerator, for example {@code l40}
- * @param fenced whether it checks the epoch of who gives it an order
+ * @param fenced whether it checks the epoch of the sender of an order
  */
 public record Endpoint(
     EndpointId id,
@@ -24,7 +24,7 @@
     Optional<LayerRange> layers,
     String accelerator,
     boolean fenced) {
-  /** Checks that every part is given. */
+  /** Checks that the required components are given. */
   public Endpoint {
     checkNotNull(id);
     checkNotNull(address);
--- a/vaneworks/src/main/java/org/vaneworks/state/EndpointId.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/EndpointId.java
@@ -3,13 +3,13 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * One run of an endpoint's process: a restarted endpoint has another incarnation.
+ * Identifies one incarnation of an endpoint; a restart of its process begins another incarnation.
  *
- * @param box the box's name in the platform's list
- * @param incarnation what the endpoint calls this run of itself
+ * @param box name of the box in the platform's list
+ * @param incarnation id that the endpoint gives to this incarnation
  */
 public record EndpointId(String box, String incarnation) {
-  /** Checks that both parts are given. */
+  /** Checks that both components are given. */
   public EndpointId {
     checkArgument(!box.isEmpty(), "an endpoint's box must be named");
     checkArgument(!incarnation.isEmpty(), "the incarnation of endpoint %s must be given", box);
--- a/vaneworks/src/main/java/org/vaneworks/state/HostPort.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/HostPort.java
@@ -6,26 +6,31 @@
 import com.google.common.net.InetAddresses;
 
 /**
- * An IP number and a port.
+ * An IP address and a port.
  *
- * @param host an IP number, never a name
- * @param port 0 to 65535; 0 asks the system for a free one when listening
+ * @param host an IP address in text form, never a host name
+ * @param port 0 to 65535; 0 lets the operating system choose a free port to listen on
  */
 public record HostPort(String host, int port) {
-  /** Checks both parts. */
+  /** Checks that the host is an IP address and that the port is in range. */
   public HostPort {
     checkArgument(InetAddresses.isInetAddress(host), "host must be an IP number: %s", host);
     checkArgument(port >= 0 && port <= 65535, "port must be 0 to 65535: %s", port);
   }
 
-  /** Parses {@code 127.0.0.1:80} or {@code [::1]:80}. */
+  /**
+   * Parses an address such as {@code 127.0.0.1:80} or {@code [::1]:80}.
+   *
+   * @throws IllegalArgumentException if the text is not an IP address with a port
+   */
   public static HostPort parse(String text) {
     HostAndPort parsed = HostAndPort.fromString(text);
     checkArgument(parsed.hasPort(), "an address needs a port: %s", text);
     return new HostPort(parsed.getHost(), parsed.getPort());
   }
 
-  // Written out: generated ones are linked by method handles, whose classes each start makes anew.
+  // Written out: the generated methods of a record are linked through method handles, whose classes
+  // the JVM has to generate at each start.
 
   @Override
   public boolean equals(Object other) {
--- a/vaneworks/src/main/java/org/vaneworks/state/LayerRange.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/LayerRange.java
@@ -7,7 +7,7 @@
 /**
  * A half-open range of model layers, {@code [from, to)}.
  *
- * @param from first layer, from 0
+ * @param from the first layer, counted from 0
  * @param to the layer after the last
  */
 public record LayerRange(int from, int to) {
@@ -21,24 +21,25 @@
     return new LayerRange(from, to);
   }
 
-  /** Returns how many layers the range holds. */
+  /** Returns the number of layers in the range. */
   public int size() {
     return to - from;
   }
 
-  /** Returns whether every layer of the other range is in this one. */
+  /** Returns whether this range contains every layer of the other range. */
   public boolean encloses(LayerRange other) {
     return from <= other.from && other.to <= to;
   }
 
-  /** Returns the layers that are in both ranges; empty if none is. */
+  /** Returns the layers that are in both ranges; empty if the ranges are disjoint. */
   public Optional<LayerRange> intersection(LayerRange other) {
     int first = Math.max(from, other.from);
     int end = Math.min(to, other.to);
     return first < end ? Optional.of(of(first, end)) : Optional.empty();
   }
 
-  // Written out: generated ones are linked by method handles, whose classes each start makes anew.
+  // Written out: the generated methods of a record are linked through method handles, whose classes
+  // the JVM has to generate at each start.
 
   @Override
   public boolean equals(Object other) {
--- a/vaneworks/src/main/java/org/vaneworks/state/NotRunProof.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/NotRunProof.java
@@ -1,13 +1,13 @@
 package org.vaneworks.state;
 
-/** Names how it is known that no part of a request ran. */
+/** The evidence that no part of a request ran. */
 public enum NotRunProof {
-  /** The request was turned away inside this node before anything was sent. */
+  /** This node rejected the request before it sent anything. */
   NOTHING_SENT,
   /** The connection was refused or lost before a byte of the request was written. */
   NEVER_CONNECTED,
-  /** The endpoint answered that it did not start the work. */
+  /** The endpoint answered that it did not start the request. */
   ENDPOINT_REFUSED,
-  /** Another node, which alone could have run it, answered that it did not. */
+  /** The only node that could have run the request answered that it did not. */
   HOME_REFUSED
 }
--- a/vaneworks/src/main/java/org/vaneworks/state/ParameterSpec.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/ParameterSpec.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * A template's parameter: its type, default and what is allowed.
+ * A template's parameter: its type, default and allowed values.
  *
- * @param name as workspaces fill it in
- * @param type kind of value
- * @param defaultValue value of workspaces that don't fill it in; without one they must
- * @param min least value of an integer
- * @param max greatest value of an integer
- * @param values what an enumeration allows
+ * @param name name that workspaces use for their value
+ * @param type type of the value
+ * @param defaultValue value for workspaces that give none; without a default they must give one
+ * @param min minimum of an integer
+ * @param max maximum of an integer, or maximum length of a string in characters
+ * @param values the allowed values of an enumeration
  */
 public record ParameterSpec(
     String name,
@@ -23,7 +23,7 @@
     int min,
     int max,
     ImmutableList<String> values) {
-  /** Checks the bounds, and the default against them. */
+  /** Checks the name, the type, the bounds and that an enumeration has values. */
   public ParameterSpec {
     checkArgument(name.matches("[A-Za-z][A-Za-z0-9-]*"), "parameter name is not allowed: %s", name);
     checkNotNull(type, "parameter %s needs a type", name);
@@ -35,7 +35,8 @@
   /**
    * Returns the value if it is allowed.
    *
-   * @throws IllegalArgumentException naming the parameter, the value and what is allowed
+   * @throws IllegalArgumentException if the value is not allowed; the message names the parameter,
+   *     the value and the allowed values
    */
   public String check(String value) {
     String field = "parameters." + name;
--- a/vaneworks/src/main/java/org/vaneworks/state/Priority.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/Priority.java
@@ -1,6 +1,6 @@
 package org.vaneworks.state;
 
-/** How urgent a request is beside others; multiplies its workspace's share. */
+/** The urgency of a request relative to others; scales the weight of its workspace. */
 public enum Priority {
   HIGH(8),
   NORMAL(2),
@@ -12,7 +12,7 @@
     this.factor = factor;
   }
 
-  /** Returns the factor on the workspace's weight. */
+  /** Returns the factor that the workspace's weight is multiplied by. */
   public int factor() {
     return factor;
   }
--- a/vaneworks/src/main/java/org/vaneworks/state/Reason.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/Reason.java
@@ -3,9 +3,10 @@
 import java.util.Locale;
 
 /**
- * Names why a request was refused or failed; labels the counters and the caller's answer.
+ * The reasons why a request is refused or fails; used in responses to callers and as the reason tag
+ * of counters.
  *
- * <p>Each reason carries the HTTP status (RFC 9110) that callers see.
+ * <p>Each reason has the HTTP status (RFC 9110) that callers receive.
  */
 public enum Reason {
   UNKNOWN_WORKSPACE(404, "no workspace of that name is configured"),
@@ -53,17 +54,17 @@
     this.text = text;
   }
 
-  /** Returns the HTTP status for callers. */
+  /** Returns the HTTP status of the response. */
   public int status() {
     return status;
   }
 
-  /** Returns one sentence for people. */
+  /** Returns a short human-readable explanation. */
   public String text() {
     return text;
   }
 
-  /** Returns the name used in answers and counters, such as {@code queue-full}. */
+  /** Returns the name used in responses and counters, such as {@code queue-full}. */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/vaneworks/src/main/java/org/vaneworks/state/Refusal.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/Refusal.java
@@ -7,9 +7,9 @@
 import java.util.Optional;
 
 /**
- * A final answer other than success: reason, verdict, detail and when to come back.
+ * A final answer other than success: its reason, verdict, detail and retry delay.
  *
- * <p>A {@link Verdict#NOT_RUN} can only be built by {@link #notRun}, which asks for the proof.
+ * <p>A refusal with {@link Verdict#NOT_RUN} always has a {@link NotRunProof}. Immutable.
  */
 public final class Refusal {
   private final Reason reason;
@@ -31,37 +31,38 @@
     this.retryAfter = checkNotNull(retryAfter);
   }
 
-  /** Returns a refusal of which no part ran. */
+  /** Returns the refusal of a request of which no part ran. */
   public static Refusal notRun(NotRunProof proof, Reason reason, String detail) {
     return new Refusal(
         reason, Verdict.NOT_RUN, Optional.of(checkNotNull(proof)), detail, Optional.empty());
   }
 
-  /** Returns a refusal made inside this node, before anything was sent. */
+  /** Returns a refusal by this node before it sent anything. */
   public static Refusal nothingSent(Reason reason, String detail) {
     return notRun(NotRunProof.NOTHING_SENT, reason, detail);
   }
 
-  /** Returns a failure of which some part may have run. */
+  /** Returns the failure of a request of which some part may have run. */
   public static Refusal mayHaveRun(Reason reason, String detail) {
     return new Refusal(reason, Verdict.MAY_HAVE_RUN, Optional.empty(), detail, Optional.empty());
   }
 
-  /** Returns a failure of which some part is known to have run. */
+  /** Returns the failure of a request of which some part is known to have run. */
   public static Refusal ran(Reason reason, String detail) {
     return new Refusal(reason, Verdict.RAN, Optional.empty(), detail, Optional.empty());
   }
 
-  /** Returns a copy that tells the caller when to come back. */
+  /** Returns a copy that asks the caller to wait before it retries. */
   public Refusal withRetryAfter(Duration wait) {
     checkArgument(!wait.isNegative(), "retryAfter must not be negative: %s", wait);
     return new Refusal(reason, verdict, proof, detail, Optional.of(wait));
   }
 
   /**
-   * Returns a copy that claims no more than {@link Verdict#MAY_HAVE_RUN}.
+   * Returns this refusal with {@link Verdict#NOT_RUN} weakened to {@link Verdict#MAY_HAVE_RUN}.
    *
-   * <p>For a request under a ticket or key: this attempt did nothing, but an earlier one may have.
+   * <p>Applies to requests with a ticket or an idempotency key: this attempt did not run, but an
+   * earlier attempt with the same ticket or key may have.
    */
   public Refusal withoutProof() {
     return verdict == Verdict.NOT_RUN
@@ -69,32 +70,32 @@
         : this;
   }
 
-  /** Returns why. */
+  /** Returns the reason. */
   public Reason reason() {
     return reason;
   }
 
-  /** Returns whether any part may have run. */
+  /** Returns whether any part of the request ran or may have run. */
   public Verdict verdict() {
     return verdict;
   }
 
-  /** Returns how {@link Verdict#NOT_RUN} is known; present exactly for that verdict. */
+  /** Returns the evidence for {@link Verdict#NOT_RUN}; present only with that verdict. */
   public Optional<NotRunProof> proof() {
     return proof;
   }
 
-  /** Returns the particulars, for people. */
+  /** Returns the human-readable detail. */
   public String detail() {
     return detail;
   }
 
-  /** Returns how long the caller should wait before it asks again. */
+  /** Returns how long the caller should wait before it retries, if the refusal says so. */
   public Optional<Duration> retryAfter() {
     return retryAfter;
   }
 
-  /** Returns this refusal as an exception for a failed future. */
+  /** Returns an exception that carries this refusal through a failed future. */
   public RefusalException toException() {
     return new RefusalException(this);
   }
--- a/vaneworks/src/main/java/org/vaneworks/state/RefusalException.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/RefusalException.java
@@ -19,10 +19,12 @@
   }
 
   /**
-   * Returns the refusal behind a failure.
+   * Returns the refusal that a failure carries.
    *
-   * @param failure any throwable; one that carries no refusal is an internal failure, of which
-   *     nothing is known, so its verdict is {@link Verdict#MAY_HAVE_RUN}
+   * <p>A failure without a refusal is an internal error. Since it is not known whether the request
+   * ran, its verdict is {@link Verdict#MAY_HAVE_RUN}.
+   *
+   * @param failure any throwable
    */
   public static Refusal refusalOf(Throwable failure) {
     Throwable cause = failure;
--- a/vaneworks/src/main/java/org/vaneworks/state/RequestContent.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/RequestContent.java
@@ -11,15 +11,15 @@
 import java.util.regex.Pattern;
 
 /**
- * Names what a request asks for, whoever sends it again and however often.
+ * Identifies the content of a request; retries of a request have the same content.
  *
- * <p>Requests of one workspace with the same method, target and body have the same content; a
- * caller's own id of the request does not count.
+ * <p>Requests of one workspace with the same method, host, target and body have the same content,
+ * whatever request ids their callers give.
  *
- * @param digest 128 bits in hex: a digest of its parts
+ * @param digest 128-bit digest of these parts, in hexadecimal
  */
 public record RequestContent(String digest) {
-  /** Half of SHA-256: enough that no two contents meet by chance. */
+  /** Length of the truncated SHA-256; 128 bits make accidental collisions negligible. */
   private static final int DIGEST_BYTES = 16;
 
   private static final Pattern FORM = Pattern.compile("[0-9a-f]{" + 2 * DIGEST_BYTES + "}");
@@ -32,8 +32,8 @@
   /**
    * Returns the content of a request.
    *
-   * @param workspace whose request it is; empty where the route needs no key
-   * @param target path and query, as sent
+   * @param workspace the caller's workspace; empty if the route requires no key
+   * @param target path and query, as received
    */
   public static RequestContent of(
       Optional<String> workspace, String method, String host, String target, byte[] body) {
@@ -46,7 +46,7 @@
     return new RequestContent(hex(Arrays.copyOf(digest, DIGEST_BYTES)));
   }
 
-  /** Puts a part with its length, so that no two lists of parts run together. */
+  /** Hashes a part after its length, so that different lists of parts never give the same bytes. */
   private static void put(Hasher hasher, String part) {
     byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
     hasher.putInt(bytes.length).putBytes(bytes);
--- a/vaneworks/src/main/java/org/vaneworks/state/RequestedBackoff.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/RequestedBackoff.java
@@ -6,7 +6,8 @@
 import java.time.Duration;
 
 /**
- * What an answer says about how long its endpoint wants no calls from the node that it answers.
+ * The backoff that an endpoint requests in a response: how long the receiving node should not call
+ * it.
  *
  * <p>Immutable.
  */
@@ -29,33 +30,39 @@
     this.length = length;
   }
 
-  /** Returns what an answer says that asks for no backoff; one asked for before goes on. */
+  /**
+   * Returns the value for a response that requests no backoff; an earlier backoff stays in effect.
+   */
   public static RequestedBackoff none() {
     return NONE;
   }
 
-  /** Returns a backoff that begins when the answer is read. */
+  /** Returns a backoff that starts when the response is read. */
   public static RequestedBackoff of(Duration length) {
     checkArgument(!length.isNegative(), "length must not be negative: %s", length);
     return new RequestedBackoff(Kind.ASKED, length);
   }
 
-  /** Returns what an answer says whose backoff can't be read. */
+  /** Returns the value for a response whose backoff can't be parsed. */
   public static RequestedBackoff unreadable() {
     return UNREADABLE;
   }
 
-  /** Returns whether the endpoint asks for a backoff. */
+  /** Returns whether the endpoint requests a backoff. */
   public boolean isRequested() {
     return kind == Kind.ASKED;
   }
 
-  /** Returns whether the answer names a backoff that can't be read. */
+  /** Returns whether the response contains a backoff that can't be parsed. */
   public boolean isUnreadable() {
     return kind == Kind.UNREADABLE;
   }
 
-  /** Returns how long it is; there must be one. */
+  /**
+   * Returns the length of the backoff.
+   *
+   * @throws IllegalStateException if no backoff is requested
+   */
   public Duration length() {
     checkState(isRequested(), "no backoff: %s", this);
     return length;
--- a/vaneworks/src/main/java/org/vaneworks/state/ResourceKey.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/ResourceKey.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Names one resource of the configuration.
+ * Identifies a resource of the configuration.
  *
  * @param kind template or workspace
  * @param name unique within its kind
@@ -22,15 +22,19 @@
     WORKSPACE
   }
 
-  /** What a name may be, for messages. */
+  /** Description of the allowed names, for error messages. */
   static final String NAME_FORM = "1 to 63 lower case letters, digits, - and .";
 
-  /** Returns whether the text is allowed as a resource's name. */
+  /** Returns whether the text is a valid resource name. */
   public static boolean isName(String text) {
     return NAME.matcher(text).matches();
   }
 
-  /** Parses {@code template/NAME} or {@code workspace/NAME}. */
+  /**
+   * Parses {@code template/NAME} or {@code workspace/NAME}.
+   *
+   * @throws IllegalArgumentException if the text has another form
+   */
   public static ResourceKey parse(String text) {
     int slash = text.indexOf('/');
     checkArgument(slash > 0, "expected KIND/NAME: %s", text);
@@ -38,7 +42,7 @@
     return new ResourceKey(kind, text.substring(slash + 1));
   }
 
-  /** Returns the configuration page that holds the resource. */
+  /** Returns the number of the configuration page that contains the resource. */
   public int page() {
     int hash = Hashing.murmur3_32_fixed().hashString(toString(), StandardCharsets.UTF_8).asInt();
     return Math.floorMod(hash, ConfigurationHead.PAGES);
--- a/vaneworks/src/main/java/org/vaneworks/state/Route.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/Route.java
@@ -5,7 +5,11 @@
 import com.google.common.collect.ImmutableList;
 import java.util.List;
 
-/** An ordered list of engines whose layer ranges tile a span without gap or overlap. */
+/**
+ * An ordered list of engines whose layer ranges cover a span without gaps or overlaps.
+ *
+ * <p>Immutable.
+ */
 public final class Route {
   private final ImmutableList<Endpoint> hops;
   private final LayerRange span;
@@ -18,7 +22,8 @@
   /**
    * Returns the route over the given hops.
    *
-   * @throws IllegalArgumentException if the hops don't tile the span exactly, in order
+   * @throws IllegalArgumentException if the layers of the hops, in order, don't cover the span
+   *     exactly
    */
   public static Route tiling(LayerRange span, List<Endpoint> hops) {
     int next = span.from();
@@ -37,7 +42,7 @@
     return hops;
   }
 
-  /** Returns the layers that the hops cover together. */
+  /** Returns the layers that all hops cover together. */
   public LayerRange span() {
     return span;
   }
--- a/vaneworks/src/main/java/org/vaneworks/state/ServiceSpec.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/ServiceSpec.java
@@ -5,10 +5,10 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * A plain service of a template.
+ * A plain service that a template describes.
  *
- * @param name as endpoints and callers call it
- * @param calls rules on repetition, the first that matches counts
+ * @param name name that endpoints and callers use for the service
+ * @param calls rules on repeatability; the first matching rule applies
  */
 public record ServiceSpec(String name, ImmutableList<CallRule> calls) {
   /** Checks that the service is named. */
@@ -19,8 +19,9 @@
   /**
    * Returns whether a call may run more than once.
    *
-   * <p>A call without a rule may be repeated only if its method is safe in the sense of RFC 9110:
-   * the careful reading, since a doubled confirmation does harm and a refused read does not.
+   * <p>A call without a matching rule is repeatable only if its method is GET or HEAD, which RFC
+   * 9110 defines as safe. This is the conservative default: repeating a write can do harm, while
+   * failing a read does not.
    */
   public boolean repeatable(String method, String path) {
     for (CallRule rule : calls) {
--- a/vaneworks/src/main/java/org/vaneworks/state/Setting.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/Setting.java
@@ -8,23 +8,25 @@
 import java.util.regex.Pattern;
 
 /**
- * A value in a template: a literal, or a reference to a parameter such as {@code ${maxTokens}}.
+ * A value in a template: a literal or a reference to a parameter, such as {@code ${maxTokens}}.
  *
- * @param text what the operator wrote
+ * @param text the value as written by the operator
  */
 public record Setting(String text) {
   private static final Pattern REFERENCE = Pattern.compile("\\$\\{([A-Za-z][A-Za-z0-9-]*)}");
 
-  /** Returns the parameter that this setting refers to, if it refers to one. */
+  /** Returns the name of the referenced parameter, or empty for a literal. */
   public Optional<String> parameter() {
     Matcher matcher = REFERENCE.matcher(text);
     return matcher.matches() ? Optional.of(matcher.group(1)) : Optional.empty();
   }
 
   /**
-   * Returns the value, with a parameter's value put in.
+   * Returns the literal, or the value of the referenced parameter.
    *
-   * @throws IllegalArgumentException if it refers to a parameter that is not among the given
+   * @param field name of the field, for the error message
+   * @param arguments parameter values by name
+   * @throws IllegalArgumentException if the referenced parameter is not among the arguments
    */
   public String resolve(String field, Map<String, String> arguments) {
     Optional<String> parameter = parameter();
@@ -39,7 +41,8 @@
   /**
    * Returns the value as an integer within bounds.
    *
-   * @throws IllegalArgumentException naming the field, if it is no integer or out of its bounds
+   * @throws IllegalArgumentException if the value is not an integer or out of bounds; the message
+   *     names the field
    */
   public int resolveInt(String field, Map<String, String> arguments, int min, int max) {
     String value = resolve(field, arguments);
--- a/vaneworks/src/main/java/org/vaneworks/state/StorePosition.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/StorePosition.java
@@ -3,42 +3,45 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * A moment in the life of the platform's store: its counter of changes, and the copy that it counts
- * in.
+ * A position in the history of the platform's store: a revision within an era.
  *
- * <p>A store that comes back from an older copy gives the same counter out again, for other
- * changes. Each time its era rises, so positions of different eras are told apart, and later ones
- * are higher.
+ * <p>A store that is restored from a backup assigns revisions again that it used before, to other
+ * changes. Its era increases with each restore, which distinguishes such positions and keeps later
+ * ones higher.
  *
- * @param era how often the store came back from a copy, as it tells; 0 if it does not
- * @param revision the store's counter of changes
+ * @param era how many times the store was restored from a backup, as it reports; 0 if it reports
+ *     none
+ * @param revision number of changes, as counted by the store
  */
 public record StorePosition(long era, long revision) implements Comparable<StorePosition> {
-  /** Before all changes. */
+  /** The position before all changes. */
   public static final StorePosition START = new StorePosition(0, 0);
 
-  /** Revisions below this are numbered apart: a year of 2,000 changes a second. */
+  /** Bits of a revision; enough for a year of 2,000 changes per second. */
   private static final int REVISION_BITS = 36;
 
-  /** Eras below this are numbered; those below 2^17 as any reader of JSON keeps them. */
+  /**
+   * Bits of an era. Positions of eras below 2^17 fit into 53 bits, so every JSON reader represents
+   * them exactly.
+   */
   private static final int ERA_BITS = 26;
 
-  /** The highest era that there can be. */
+  /** The highest era that can be represented. */
   public static final long MAX_ERA = (1L << ERA_BITS) - 1;
 
-  /** Checks that it can be numbered. */
+  /** Checks that era and revision fit into their bits. */
   public StorePosition {
     checkArgument(era >= 0 && era <= MAX_ERA, "era is out of bounds: %s", era);
     checkArgument(
         revision >= 0 && revision < 1L << REVISION_BITS, "revision is out of bounds: %s", revision);
   }
 
-  /** Returns whether this is later than another. */
+  /** Returns whether this position is later than another. */
   public boolean isAfter(StorePosition other) {
     return compareTo(other) > 0;
   }
 
-  /** Returns a number that is higher for each later position, whatever the era. */
+  /** Returns the position as one number, which orders positions across eras. */
   public long toLong() {
     return era << REVISION_BITS | revision;
   }
@@ -48,7 +51,8 @@
     return Long.compare(toLong(), other.toLong());
   }
 
-  // Written out: generated ones are linked by method handles, whose classes each start makes anew.
+  // Written out: the generated methods of a record are linked through method handles, whose classes
+  // the JVM has to generate at each start.
 
   @Override
   public boolean equals(Object other) {
--- a/vaneworks/src/main/java/org/vaneworks/state/StreamId.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/StreamId.java
@@ -3,11 +3,11 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Identifies one stream among all streams of all nodes, past and present.
+ * Identifies a stream among all streams of all nodes, past and present.
  *
- * @param node the node that drives it, with its incarnation
- * @param sequence the node's own count
- * @param nonce a random number, so that two nodes given the same name by mistake don't meet
+ * @param node identity of the node that runs the stream, including its incarnation
+ * @param sequence the node's counter of streams
+ * @param nonce random number that keeps the ids distinct if two nodes have the same name by mistake
  */
 public record StreamId(String node, long sequence, long nonce) {
   /** Checks that the node is named. */
--- a/vaneworks/src/main/java/org/vaneworks/state/Template.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/Template.java
@@ -5,20 +5,20 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * A pipeline described once, for workspaces to fill in.
+ * A pipeline description with parameters that each workspace fills in.
  *
  * @param name unique among templates
- * @param parameters what workspaces fill in
+ * @param parameters the parameters that workspaces fill in
  * @param model the model's name
- * @param layers how many layers the model has
- * @param services plain services beside the model
- * @param maxInFlight most requests of one workspace in flight, over all nodes
- * @param maxQueue most requests of one workspace waiting at one node
- * @param maxTokens most tokens of one answer
- * @param firstTokenMs bound on the first token, milliseconds
- * @param betweenTokensMs bound between tokens, milliseconds
+ * @param layers the model's number of layers
+ * @param services plain services in addition to the model
+ * @param maxInFlight maximum number of requests of one workspace in flight, over all nodes
+ * @param maxQueue maximum number of queued requests of one workspace at one node
+ * @param maxTokens maximum number of tokens in one answer
+ * @param firstTokenMs bound on the time to the first token, in milliseconds
+ * @param betweenTokensMs bound on the time between tokens, in milliseconds
  * @param priority {@code high}, {@code normal} or {@code low}
- * @param weight share beside other workspaces
+ * @param weight weight of a workspace relative to other workspaces
  */
 public record Template(
     String name,
@@ -33,7 +33,7 @@
     Setting betweenTokensMs,
     Setting priority,
     Setting weight) {
-  /** Checks that the template is named. */
+  /** Checks the template's name. */
   public Template {
     checkArgument(ResourceKey.isName(name), "name is %s, allowed: %s", name, ResourceKey.NAME_FORM);
   }
--- a/vaneworks/src/main/java/org/vaneworks/state/Verdict.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/Verdict.java
@@ -1,15 +1,15 @@
 package org.vaneworks.state;
 
-/** Says whether a request, or a part of it, may have run on an endpoint. */
+/** Whether a request, or a part of it, ran on an endpoint. */
 public enum Verdict {
-  /** No part ran, and a {@link NotRunProof} says how that is known. */
+  /** No part ran; a {@link NotRunProof} gives the evidence. */
   NOT_RUN,
-  /** Some part may have run; whether it did is not known. */
+  /** It is unknown whether any part ran. */
   MAY_HAVE_RUN,
   /** At least one part is known to have run. */
   RAN;
 
-  /** Returns the weaker claim of the two: what may be said of a request made of both parts. */
+  /** Returns the verdict on a request of which two parts have this verdict and the other one. */
   public Verdict and(Verdict other) {
     if (this == RAN || other == RAN) {
       return RAN;
--- a/vaneworks/src/main/java/org/vaneworks/state/WorkspacePlan.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/WorkspacePlan.java
@@ -10,19 +10,19 @@
 import java.util.Optional;
 
 /**
- * A template with one workspace's parameters put in: what requests of the workspace are held to.
+ * A workspace's template with all parameters resolved: the limits and bounds of its requests.
  *
  * @param workspace the workspace's name
  * @param model the model's name
- * @param layers how many layers the model has
+ * @param layers the model's number of layers
  * @param services plain services
- * @param maxInFlight most requests in flight, over all nodes
- * @param maxQueue most requests waiting at one node
- * @param maxTokens most tokens of one answer
- * @param firstToken bound on the first token
- * @param betweenTokens bound between tokens
- * @param priority default priority
- * @param weight share beside other workspaces
+ * @param maxInFlight maximum number of requests in flight, over all nodes
+ * @param maxQueue maximum number of queued requests at one node
+ * @param maxTokens maximum number of tokens in one answer
+ * @param firstToken bound on the time to the first token
+ * @param betweenTokens bound on the time between tokens
+ * @param priority priority of requests that give none
+ * @param weight weight relative to other workspaces
  */
 public record WorkspacePlan(
     String workspace,
@@ -44,9 +44,10 @@
   private static final int MAX_WEIGHT = 1_000;
 
   /**
-   * Fills a template in.
+   * Resolves a template with the arguments of a workspace.
    *
-   * @throws IllegalArgumentException naming the field, if a value is missing or not allowed
+   * @throws IllegalArgumentException if a value is missing or not allowed; the message names the
+   *     field
    */
   static WorkspacePlan resolve(Template template, Workspace workspace) {
     Map<String, String> arguments = arguments(template, workspace);
@@ -90,12 +91,12 @@
     }
   }
 
-  /** Returns the model's layers as one range. */
+  /** Returns the range of all layers of the model. */
   public LayerRange span() {
     return LayerRange.of(0, layers);
   }
 
-  /** Returns the plain service of that name. */
+  /** Returns the plain service with the given name, if there is one. */
   public Optional<ServiceSpec> service(String name) {
     return services.stream().filter(service -> service.name().equals(name)).findFirst();
   }
--- a/vaneworks/src/main/java/org/vaneworks/state/entry/AcceleratorProfile.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/entry/AcceleratorProfile.java
@@ -3,16 +3,16 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * A kind of accelerator, as the operator describes it.
+ * Properties of one kind of accelerator, as configured by the operator.
  *
- * @param name for example {@code l40s}
- * @param megabytes memory for layers and requests together
- * @param stepFactor how many times the model's step time a step takes here
- * @param readFactor how many times the model's reading time a prompt takes here
+ * @param name name of the kind, for example {@code l40s}
+ * @param megabytes memory for layers and requests together, in megabytes
+ * @param stepFactor time of a step on this accelerator, as a multiple of the model's step time
+ * @param readFactor time to read a prompt on this accelerator, as a multiple of the model's
  */
 public record AcceleratorProfile(
     String name, double megabytes, double stepFactor, double readFactor) {
-  /** Checks that all figures are positive. */
+  /** Checks that all numbers are positive. */
   public AcceleratorProfile {
     checkArgument(megabytes > 0, "megabytes of %s must be positive: %s", name, megabytes);
     checkArgument(stepFactor > 0, "stepFactor of %s must be positive: %s", name, stepFactor);
--- a/vaneworks/src/main/java/org/vaneworks/state/entry/CallKind.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/entry/CallKind.java
@@ -1,17 +1,17 @@
 package org.vaneworks.state.entry;
 
-/** How the requests of a route may be run. */
+/** How often the requests of a route may run, and whether their answers are streams. */
 public enum CallKind {
   /** May run any number of times. */
   SAFE,
-  /** May run once at most. */
+  /** May run at most once. */
   UNSAFE,
-  /** Answered by a stream of events; runs once at most. */
+  /** Answered with a stream of events; may run at most once. */
   STREAM,
-  /** Answered by a stream of events that another run may continue after any whole event. */
+  /** Answered with a stream of events that another run may resume after any complete event. */
   RESUMABLE_STREAM;
 
-  /** Returns whether a second run does no harm. */
+  /** Returns whether a request may run more than once. */
   public boolean idempotent() {
     return this == SAFE || this == RESUMABLE_STREAM;
   }
--- a/vaneworks/src/main/java/org/vaneworks/state/entry/Caller.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/entry/Caller.java
@@ -3,9 +3,9 @@
 import java.util.OptionalInt;
 
 /**
- * The workspace that a key belongs to.
+ * The caller that an API key identifies.
  *
- * @param workspace its name
- * @param priority goes before the route's priority where it is given
+ * @param workspace name of the caller's workspace
+ * @param priority overrides the route's priority if present
  */
 public record Caller(String workspace, OptionalInt priority) {}
--- a/vaneworks/src/main/java/org/vaneworks/state/entry/EntryConfiguration.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/entry/EntryConfiguration.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One version of what operators configured, whole and immutable. */
+/** A complete version of the operators' configuration. Immutable. */
 public final class EntryConfiguration {
   private final long version;
   private final ImmutableListMultimap<String, EntryRoute> routesByHost;
@@ -34,7 +34,7 @@
    * Returns a configuration.
    *
    * @param version higher is newer
-   * @param callersByKey the callers' secrets; empty if no request needs a key
+   * @param callersByKey callers by their secret keys; empty if no request requires a key
    */
   public static EntryConfiguration of(
       long version,
@@ -61,7 +61,7 @@
     return version;
   }
 
-  /** Returns the route with the longest prefix of a path. */
+  /** Returns the host's route with the longest prefix that matches a path. */
   public Optional<EntryRoute> route(String host, String path) {
     for (EntryRoute route : routesByHost.get(hostKey(host))) {
       if (path.startsWith(route.pathPrefix())) {
@@ -71,17 +71,17 @@
     return Optional.empty();
   }
 
-  /** Returns whether callers have to show a key on routes that are not open. */
+  /** Returns whether requests on routes that are not open require a key. */
   public boolean needsKeys() {
     return !callersByKey.isEmpty();
   }
 
-  /** Returns whose key that is. */
+  /** Returns the caller that a key identifies. */
   public Optional<Caller> caller(String key) {
     return Optional.ofNullable(callersByKey.get(key));
   }
 
-  /** Returns a service by its name. */
+  /** Returns the service with the given name. */
   public Optional<ServiceProfile> service(String name) {
     return Optional.ofNullable(services.get(name));
   }
@@ -93,12 +93,12 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  /** Returns the bounds on what callers may send. */
+  /** Returns the limits on callers' requests and connections. */
   public EntryLimits limits() {
     return limits;
   }
 
-  /** Host names compare without case and port (RFC 9110). */
+  /** Normalizes a host: the port is removed, and case is insignificant (RFC 9110). */
   private static String hostKey(String host) {
     int port = host.lastIndexOf(':');
     return (port < 0 ? host : host.substring(0, port)).toLowerCase(Locale.ROOT);
--- a/vaneworks/src/main/java/org/vaneworks/state/entry/EntryRoute.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/entry/EntryRoute.java
@@ -7,19 +7,19 @@
 import java.time.Duration;
 
 /**
- * Sends the requests of one host whose path begins with a prefix to services.
+ * Routes the requests for one host whose path starts with a prefix to services.
  *
- * @param name for logs
- * @param host the host that requests name, without a port
- * @param pathPrefix begins the paths that it takes; starts and ends with a slash
- * @param kind how its requests may be run
- * @param timeout the longest that a request is held
- * @param objective the time to a whole answer, or to the first event of a stream, that is aimed at
- * @param pauseObjective the longest pause between events of a stream that is aimed at
+ * @param name name of the route, for logs
+ * @param host host name of the requests, without a port
+ * @param pathPrefix prefix of the paths that match; starts and ends with a slash
+ * @param kind how the requests may run
+ * @param timeout maximum time from a request to the end of its answer
+ * @param objective target time to a complete answer, or to the first event of a stream
+ * @param pauseObjective target maximum time between two events of a stream
  * @param priority 0 is the most urgent
  * @param services one or more services, by weight
- * @param attempts the greatest number of endpoints on which one request may run
- * @param open whether a request needs no key
+ * @param attempts maximum number of endpoints that one request may run on
+ * @param open whether requests require no key
  */
 public record EntryRoute(
     String name,
@@ -33,7 +33,7 @@
     ImmutableList<WeightedService> services,
     int attempts,
     boolean open) {
-  /** Checks the parts that decisions rely on. */
+  /** Checks kind, services, attempts and timeout. */
   public EntryRoute {
     checkNotNull(kind);
     checkArgument(!services.isEmpty(), "route %s must name a service", name);
@@ -42,16 +42,16 @@
   }
 
   /**
-   * Returns the service that takes a request.
+   * Selects the service for a request, in proportion to the weights.
    *
-   * @param draw a number in [0, 1)
+   * @param draw a random number in [0, 1)
    */
   public String selectService(double draw) {
     double total = services.stream().mapToDouble(WeightedService::weight).sum();
-    double left = draw * total;
+    double remaining = draw * total;
     for (WeightedService candidate : services) {
-      left -= candidate.weight();
-      if (left < 0) {
+      remaining -= candidate.weight();
+      if (remaining < 0) {
         return candidate.service();
       }
     }
--- a/vaneworks/src/main/java/org/vaneworks/state/entry/ModelProfile.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/entry/ModelProfile.java
@@ -6,20 +6,21 @@
 import java.util.Optional;
 
 /**
- * What a service's engines run, and what it costs them, as the operator describes it.
+ * The model that a service's engines run, and its cost in memory and time, as configured by the
+ * operator.
  *
  * @param layers number of layers
- * @param layerMegabytes memory of one layer's weights
- * @param tokenBytes memory of one token of a request over all layers
- * @param slots requests that an engine takes as the first of a path
- * @param loadSeconds time to load all layers, at the model's own pace
- * @param stepMillis time of a step over all layers, before the accelerator's factor
- * @param perSequenceMillis added to a step for each request that writes
- * @param perThousandContextMillis added to a step for each thousand tokens of context
- * @param readTokensPerSecond prompt tokens read a second, before the accelerator's factor
- * @param usualPrompt mean tokens of a prompt
- * @param usualAnswer mean tokens of an answer
- * @param accelerators the kinds of accelerator by name
+ * @param layerMegabytes memory of the weights of one layer, in megabytes
+ * @param tokenBytes memory of one token of a request over all layers, in bytes
+ * @param slots number of requests that an engine accepts as the first engine of their path
+ * @param loadSeconds time to load all layers at the nominal speed, in seconds
+ * @param stepMillis time of a step over all layers in milliseconds, before the accelerator's factor
+ * @param perSequenceMillis milliseconds added to a step for each request that generates tokens
+ * @param perThousandContextMillis milliseconds added to a step for each thousand tokens of context
+ * @param readTokensPerSecond prompt tokens read per second, before the accelerator's factor
+ * @param usualPrompt mean number of tokens of a prompt
+ * @param usualAnswer mean number of tokens of an answer
+ * @param accelerators accelerator profiles by name
  */
 public record ModelProfile(
     int layers,
@@ -36,7 +37,7 @@
     ImmutableMap<String, AcceleratorProfile> accelerators) {
   private static final double BYTES_PER_MEGABYTE = 1e6;
 
-  /** Checks the figures that are divided by. */
+  /** Checks that the numbers used as divisors are positive. */
   public ModelProfile {
     checkArgument(layers > 0, "layers must be positive: %s", layers);
     checkArgument(layerMegabytes > 0, "layerMegabytes must be positive: %s", layerMegabytes);
@@ -44,27 +45,27 @@
     checkArgument(readTokensPerSecond > 0, "readTokensPerSecond: %s", readTokensPerSecond);
   }
 
-  /** Returns the memory of one token of a request in one layer, in megabytes. */
+  /** Returns the memory that one token of a request takes in one layer, in megabytes. */
   public double megabytesPerTokenLayer() {
     return tokenBytes / layers / BYTES_PER_MEGABYTE;
   }
 
-  /** Returns the accelerator of that name, if the operator describes it. */
+  /** Returns the profile of the named accelerator, if it is configured. */
   public Optional<AcceleratorProfile> accelerator(String name) {
     return Optional.ofNullable(accelerators.get(name));
   }
 
-  /** Returns the tokens of a request of the usual size at its end. */
+  /** Returns the number of tokens of a request of mean size when it completes. */
   public int usualTokens() {
     return usualPrompt + usualAnswer;
   }
 
-  /** Returns how many tokens of requests fit beside the held layers, in each of them. */
+  /** Returns how many tokens of requests fit into the memory beside the held layers. */
   public double tokenCapacity(AcceleratorProfile accelerator, int heldLayers) {
     return tokenLayerCapacity(accelerator, heldLayers) / heldLayers;
   }
 
-  /** Returns how many tokens times layers fit beside the held layers. */
+  /** Returns the memory beside the held layers as a number of tokens times layers. */
   public double tokenLayerCapacity(AcceleratorProfile accelerator, int heldLayers) {
     double free = accelerator.megabytes() - heldLayers * layerMegabytes;
     return Math.max(0, free / megabytesPerTokenLayer());
--- a/vaneworks/src/main/java/org/vaneworks/state/entry/ServiceProfile.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/entry/ServiceProfile.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * A service that routes send to.
+ * A service that routes send requests to.
  *
- * @param name its name
- * @param maxConnections connections that one endpoint accepts from all callers together
- * @param model what its engines run; empty for a plain service
+ * @param name the service's name
+ * @param maxConnections maximum number of connections that one endpoint accepts from all callers
+ * @param model the model that its engines run; empty for a plain service
  */
 public record ServiceProfile(String name, int maxConnections, Optional<ModelProfile> model) {}
--- a/vaneworks/src/main/java/org/vaneworks/state/entry/WeightedService.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/entry/WeightedService.java
@@ -3,10 +3,10 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * A service that takes a share of a route's requests.
+ * A service that receives a share of a route's requests.
  *
  * @param service the service's name
- * @param weight its share, against the sum of the route's weights
+ * @param weight its share, relative to the sum of the route's weights
  */
 public record WeightedService(String service, double weight) {
   /** Checks the weight. */
--- a/vaneworks/src/main/java/org/vaneworks/state/entry/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/entry/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What operators configure about the traffic that a node forwards: routes by host and path, the
- * services behind them, the models that engines run, callers' keys and limits.
+ * The operators' configuration for the requests that a node forwards: routes by host and path,
+ * services, models that engines run, callers' keys and limits.
  *
- * <p>Immutable values only; an adapter builds them, {@code coordination} reads them.
+ * <p>Contains immutable values only. An adapter builds them from the configuration format, and
+ * {@code coordination} reads them.
  */
 package org.vaneworks.state.entry;
--- a/vaneworks/src/main/java/org/vaneworks/state/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Immutable values and the shared tables: configuration, endpoints, members, streams, claims.
+ * Immutable values that all other packages use: configuration, endpoints, routes, refusals and
+ * identifiers.
  *
- * <p>This is the lowest layer. It opens no socket, reads no wall clock and draws no hidden
- * randomness.
+ * <p>The package opens no sockets, reads no clock and uses no source of randomness.
  */
 package org.vaneworks.state;
