--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/FleetTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/FleetTest.java
@@ -16,7 +16,7 @@
 import org.vaneworks.coordination.fleet.FleetEndpoint;
 import org.vaneworks.coordination.fleet.Incarnation;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
 import org.vaneworks.state.StorePosition;
@@ -77,8 +77,8 @@
     assertEquals(0, usable());
   }
 
-  private static EndpointStatement leavingSignal() {
-    return EndpointStatement.NONE.thatLeaves();
+private static EndpointSignal leavingSignal(){
+return EndpointSignal.NONE.asLeaving();
   }
 
   /** Guards against a shutdown announcement that is accepted only from the endpoint list. */
@@ -173,8 +173,8 @@
   @Test
   void answerWithoutAnnouncementDoesNotRevokeIt() {
     fleet.put(endpoint("a", false));
-    fleet.signals().recordAnswer(fleet.all().get(0), leavingSignal());
-    fleet.signals().recordAnswer(fleet.all().get(0), EndpointStatement.NONE);
+fleet.signals().recordAnswer(fleet.all().get(0),leavingSignal());
+fleet.signals().recordAnswer(fleet.all().get(0),EndpointSignal.NONE);
     assertEquals(0, usable());
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/HealthCheckerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/HealthCheckerTest.java
@@ -28,11 +28,11 @@
 import org.vaneworks.coordination.fleet.Incarnation;
 import org.vaneworks.coordination.fleet.RepathOutcome;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.AdvertisedRateLimit;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
-import org.vaneworks.state.StatedBackoff;
-import org.vaneworks.state.StatedLimit;
+import org.vaneworks.state.RequestedBackoff;
 import org.vaneworks.state.StorePosition;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
@@ -290,20 +290,18 @@
     pace = 3;
     health.checkPace(engine);
     clock.advance(Duration.ofMillis(100));
-    fleet.signals().rateLimits().recordFromEndpoint(engine, StatedLimit.of(2));
-    int probesBefore = probes;
+fleet.signals().rateLimits().recordFromEndpoint(engine,AdvertisedRateLimit.of(2));
+int probesBefore=probes;
     clock.advance(Duration.ofSeconds(5));
-    assertEquals(probesBefore, probes);
-    fleet.signals().rateLimits().recordFromEndpoint(engine, StatedLimit.none());
+assertEquals(probesBefore,probes);
+fleet.signals().rateLimits().recordFromEndpoint(engine,AdvertisedRateLimit.none());
     clock.advance(Duration.ofSeconds(2));
     assertTrue(probes > probesBefore, probes + " probes");
   }
 
-  private void requestBackoff(int seconds) {
-    StatedBackoff backoff = StatedBackoff.of(Duration.ofSeconds(seconds));
-    fleet
-        .signals()
-        .recordCallAnswer(engine.endpoint(), EndpointStatement.NONE.withBackoff(backoff));
+private void requestBackoff(int seconds){
+RequestedBackoff backoff=RequestedBackoff.of(Duration.ofSeconds(seconds));
+fleet.signals().recordCallAnswer(engine.endpoint(),EndpointSignal.NONE.withBackoff(backoff));
   }
 
   @Test
@@ -361,9 +359,9 @@
   }
 
   @Test
-  void probeCountsAgainstRateLimit() {
-    fleet.signals().rateLimits().recordFromEndpoint(engine, StatedLimit.of(2));
-    engine.rateLimit().setShare(2, 1, clock.currentTime(NANOSECONDS));
+void probeCountsAgainstRateLimit(){
+fleet.signals().rateLimits().recordFromEndpoint(engine,AdvertisedRateLimit.of(2));
+engine.rateLimit().setShare(2,1,clock.currentTime(NANOSECONDS));
     clock.advance(Duration.ofMillis(600));
     assertTrue(engine.usable(clock.currentTime(NANOSECONDS)));
     health.check(engine);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FakeResponseHead.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FakeResponseHead.java
@@ -2,10 +2,10 @@
 
 import java.util.Optional;
 import org.vaneworks.coordination.forwarding.ResponseHead;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.AdvertisedRateLimit;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
-import org.vaneworks.state.StatedBackoff;
-import org.vaneworks.state.StatedLimit;
+import org.vaneworks.state.RequestedBackoff;
 
 /** A response head with values set by the test. */
 public record FakeResponseHead(
@@ -13,30 +13,29 @@
     boolean notRun,
     boolean matches,
     Optional<HostPort> obstacle,
-    EndpointStatement statement)
-    implements ResponseHead {
+EndpointSignal statement)implements ResponseHead{
   /** Returns a head with the given status that matches the request. */
-  public static FakeResponseHead of(int status) {
-    return of(status, EndpointStatement.NONE);
+public static FakeResponseHead of(int status){
+return of(status,EndpointSignal.NONE);
   }
 
   /** Returns such a head with a stated rate limit. */
-  public static FakeResponseHead of(int status, StatedLimit limit) {
-    return of(status, EndpointStatement.NONE.withLimit(limit));
+public static FakeResponseHead of(int status,AdvertisedRateLimit limit){
+return of(status,EndpointSignal.NONE.withLimit(limit));
   }
 
   /** Returns such a head with the given statement. */
-  public static FakeResponseHead of(int status, EndpointStatement statement) {
-    return new FakeResponseHead(status, false, true, Optional.empty(), statement);
+public static FakeResponseHead of(int status,EndpointSignal statement){
+return new FakeResponseHead(status,false,true,Optional.empty(),statement);
   }
 
   /** Returns the head of a rejection, with a stated backoff. */
-  public static FakeResponseHead rejected(StatedBackoff backoff) {
-    return rejected(EndpointStatement.NONE.withBackoff(backoff));
+public static FakeResponseHead rejected(RequestedBackoff backoff){
+return rejected(EndpointSignal.NONE.withBackoff(backoff));
   }
 
   /** Returns the head of a rejection, with the given statement. */
-  public static FakeResponseHead rejected(EndpointStatement statement) {
-    return new FakeResponseHead(503, true, true, Optional.empty(), statement);
+public static FakeResponseHead rejected(EndpointSignal statement){
+return new FakeResponseHead(503,true,true,Optional.empty(),statement);
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
@@ -11,7 +11,7 @@
 import org.vaneworks.coordination.fleet.FleetEndpoint;
 import org.vaneworks.coordination.fleet.RepathOutcome;
 import org.vaneworks.coordination.forwarding.ForwardingLimits;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.Reason;
 import org.vaneworks.state.Verdict;
@@ -136,13 +136,11 @@
   @Test
   void responseToAnotherRequestIsNotForwarded() {
     node.replica(1);
-    RecordedResponse response = node.request("/unsafe/x");
-    node.lastAttempt()
-        .listener
-        .head(new FakeResponseHead(200, false, false, Optional.empty(), EndpointStatement.NONE));
-    assertTrue(node.lastAttempt().cancelled);
-    assertTrue(response.status.isEmpty());
-    assertEquals(Verdict.MAY_HAVE_RUN, response.refusal.get().verdict());
+RecordedResponse response=node.request("/unsafe/x");
+node.lastAttempt().listener.head(new FakeResponseHead(200,false,false,Optional.empty(),EndpointSignal.NONE));
+assertTrue(node.lastAttempt().cancelled);
+assertTrue(response.status.isEmpty());
+assertEquals(Verdict.MAY_HAVE_RUN,response.refusal.get().verdict());
   }
 
   @Test
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
@@ -10,9 +10,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.vaneworks.coordination.fleet.FleetEndpoint;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.Reason;
-import org.vaneworks.state.StatedBackoff;
+import org.vaneworks.state.RequestedBackoff;
 import org.vaneworks.state.Verdict;
 
 /** Checks where requests go while endpoints have asked this node to back off. */
@@ -24,12 +24,11 @@
   /** States a backoff in the response to a call that is not a forwarded request. */
   private void backOff(FleetEndpoint endpoint, Duration length) {
     node.fleet
-        .signals()
-        .recordCallAnswer(endpoint, EndpointStatement.NONE.withBackoff(StatedBackoff.of(length)));
+.signals().recordCallAnswer(endpoint,EndpointSignal.NONE.withBackoff(RequestedBackoff.of(length)));
   }
 
-  private void reject(Duration length) {
-    node.lastAttempt().listener.head(FakeResponseHead.rejected(StatedBackoff.of(length)));
+private void reject(Duration length){
+node.lastAttempt().listener.head(FakeResponseHead.rejected(RequestedBackoff.of(length)));
   }
 
   private void sendRequestsForSeconds(int seconds) {
@@ -125,8 +124,8 @@
   @Test
   void unreadableBackoffIsShort() {
     FleetEndpoint only = node.replica(1);
-    node.request("/safe/x");
-    node.lastAttempt().listener.head(FakeResponseHead.rejected(StatedBackoff.unreadable()));
+node.request("/safe/x");
+node.lastAttempt().listener.head(FakeResponseHead.rejected(RequestedBackoff.unreadable()));
     node.advance(250);
     node.request("/safe/x");
     assertTrue(sentTo(only) >= 2);
@@ -135,11 +134,9 @@
   @Test
   void misdirectedResponseSetsNoBackoff() {
     FleetEndpoint only = node.replica(1);
-    node.request("/safe/x");
-    EndpointStatement statement = EndpointStatement.NONE.withBackoff(StatedBackoff.of(BACKOFF));
-    node.lastAttempt()
-        .listener
-        .head(new FakeResponseHead(421, true, true, Optional.empty(), statement));
+node.request("/safe/x");
+EndpointSignal statement=EndpointSignal.NONE.withBackoff(RequestedBackoff.of(BACKOFF));
+node.lastAttempt().listener.head(new FakeResponseHead(421,true,true,Optional.empty(),statement));
     node.advance(900);
     node.request("/safe/x");
     assertTrue(sentTo(only) >= 2);
@@ -148,7 +145,7 @@
   @Test
   void restartedEndpointThatHadLeftGetsRequests() {
     FleetEndpoint only = node.replica(1);
-node.fleet.signals().recordCallAnswer(only,EndpointStatement.NONE.thatLeaves());
+node.fleet.signals().recordCallAnswer(only,EndpointSignal.NONE.asLeaving());
 node.restart(only);
 node.request("/safe/x");
     assertEquals(1, node.sent.size());
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadExchangeTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadExchangeTest.java
@@ -20,9 +20,9 @@
 import org.vaneworks.coordination.load.LoadReport;
 import org.vaneworks.coordination.load.ReportedRateLimit;
 import org.vaneworks.coordination.shared.Peer;
+import org.vaneworks.state.AdvertisedRateLimit;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
-import org.vaneworks.state.StatedLimit;
 import org.vaneworks.state.StorePosition;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.testlib.PausedExecutor;
@@ -389,37 +389,35 @@
             Incarnation.startedAt(2000)));
   }
 
-  private void peerReportsLimit(StatedLimit limit, int ageMillis) {
-    ReportedRateLimit reported =
-        new ReportedRateLimit(
+private void peerReportsLimit(AdvertisedRateLimit limit,int ageMillis){
+ReportedRateLimit reported=new ReportedRateLimit(
             EndpointLoad.keyOf(engine.endpoint()), limit, Duration.ofMillis(ageMillis));
     exchange.receive(
         LoadReport.ofNode(
             "one", ImmutableList.of(), ImmutableList.of(), ImmutableList.of(reported)));
   }
 
-  private void engineAnnounces(StatedLimit limit) {
-    fleet.signals().rateLimits().recordFromEndpoint(engine, limit);
+private void engineAnnounces(AdvertisedRateLimit limit){
+fleet.signals().rateLimits().recordFromEndpoint(engine,limit);
   }
 
   @Test
   void limitAnnouncedByEngineIsReportedWithItsAge() {
     exchange.start();
-    engineAnnounces(StatedLimit.of(3));
+engineAnnounces(AdvertisedRateLimit.of(3));
     advance(200);
-    ReportedRateLimit reported = lastReport.limits().get(0);
-    assertEquals(StatedLimit.of(3), reported.limit());
-    assertTrue(
-        reported.age().toMillis() >= 100 && reported.age().toMillis() <= 200, reported.toString());
+ReportedRateLimit reported=lastReport.limits().get(0);
+assertEquals(AdvertisedRateLimit.of(3),reported.limit());
+assertTrue(reported.age().toMillis()>=100&&reported.age().toMillis()<=200,reported.toString());
   }
 
   @Test
   void endOfLimitIsReportedForAWhile() {
     exchange.start();
-    engineAnnounces(StatedLimit.of(3));
-    engineAnnounces(StatedLimit.none());
+engineAnnounces(AdvertisedRateLimit.of(3));
+engineAnnounces(AdvertisedRateLimit.none());
     advance(1000);
-    assertEquals(StatedLimit.none(), lastReport.limits().get(0).limit());
+assertEquals(AdvertisedRateLimit.none(),lastReport.limits().get(0).limit());
     advance(5000);
     assertEquals(ImmutableList.of(), lastReport.limits());
   }
@@ -427,7 +425,7 @@
   @Test
   void limitReportedByPeerIsInForceAndNotReportedAgain() {
     exchange.start();
-    peerReportsLimit(StatedLimit.of(3), 0);
+peerReportsLimit(AdvertisedRateLimit.of(3),0);
     advance(200);
     assertEquals(ImmutableList.of(engine), fleet.signals().rateLimits().inForce());
     assertEquals(ImmutableList.of(), lastReport.limits());
@@ -439,41 +437,37 @@
         ImmutableList.of(
             new Peer("one", "dc1", PEER_1), new Peer("far", "dc2", new HostPort("10.2.0.1", 7340)));
     exchange.start();
-    peerReportsLimit(StatedLimit.of(3), 0);
+peerReportsLimit(AdvertisedRateLimit.of(3),0);
     advance(300);
-    LoadReport groupTotal =
-        reports.stream()
-            .filter(LoadReport::isGroupTotal)
-            .reduce((first, later) -> later)
-            .orElseThrow();
-    assertEquals(StatedLimit.of(3), groupTotal.limits().get(0).limit());
+LoadReport groupTotal=reports.stream().filter(LoadReport::isGroupTotal).reduce((first,later)->later).orElseThrow();
+assertEquals(AdvertisedRateLimit.of(3),groupTotal.limits().get(0).limit());
   }
 
   @Test
-  void newestLimitAppliesWhoeverReceivedIt() {
-    engineAnnounces(StatedLimit.of(3));
+void newestLimitAppliesWhoeverReceivedIt(){
+engineAnnounces(AdvertisedRateLimit.of(3));
     advance(1000);
-    peerReportsLimit(StatedLimit.none(), 2000);
-    assertEquals(ImmutableList.of(engine), fleet.signals().rateLimits().inForce());
-    peerReportsLimit(StatedLimit.none(), 100);
-    assertEquals(ImmutableList.of(), fleet.signals().rateLimits().inForce());
-    peerReportsLimit(StatedLimit.of(3), 500);
-    assertEquals(ImmutableList.of(), fleet.signals().rateLimits().inForce());
+peerReportsLimit(AdvertisedRateLimit.none(),2000);
+assertEquals(ImmutableList.of(engine),fleet.signals().rateLimits().inForce());
+peerReportsLimit(AdvertisedRateLimit.none(),100);
+assertEquals(ImmutableList.of(),fleet.signals().rateLimits().inForce());
+peerReportsLimit(AdvertisedRateLimit.of(3),500);
+assertEquals(ImmutableList.of(),fleet.signals().rateLimits().inForce());
   }
 
   @Test
-  void unreadableLimitIsIgnored() {
-    engineAnnounces(StatedLimit.of(3));
-    engineAnnounces(StatedLimit.unreadable());
-    assertEquals(ImmutableList.of(engine), fleet.signals().rateLimits().inForce());
+void unreadableLimitIsIgnored(){
+engineAnnounces(AdvertisedRateLimit.of(3));
+engineAnnounces(AdvertisedRateLimit.unreadable());
+assertEquals(ImmutableList.of(engine),fleet.signals().rateLimits().inForce());
   }
 
   @Test
-  void limitOfFormerIncarnationDoesNotAffectTheNext() {
-    engineAnnounces(StatedLimit.of(3));
-    restartEngine();
-    peerReportsLimit(StatedLimit.of(3), 0);
-    assertEquals(ImmutableList.of(), fleet.signals().rateLimits().inForce());
+void limitOfFormerIncarnationDoesNotAffectTheNext(){
+engineAnnounces(AdvertisedRateLimit.of(3));
+restartEngine();
+peerReportsLimit(AdvertisedRateLimit.of(3),0);
+assertEquals(ImmutableList.of(),fleet.signals().rateLimits().inForce());
   }
 
   @Test
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
@@ -24,10 +24,10 @@
 import org.vaneworks.coordination.fleet.RepathOutcome;
 import org.vaneworks.coordination.fleet.TrackedEndpoint;
 import org.vaneworks.coordination.placement.PlacementController;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
-import org.vaneworks.state.StatedBackoff;
+import org.vaneworks.state.RequestedBackoff;
 import org.vaneworks.state.StorePosition;
 import org.vaneworks.state.entry.EntryConfiguration;
 import org.vaneworks.state.entry.EntryLimits;
@@ -59,9 +59,8 @@
     @Override
     public CompletableFuture<EngineReport> report(FleetEndpoint engine, Duration limit) {
       reports++;
-      if (refusesCalls) {
-        EndpointStatement statement =
-            EndpointStatement.NONE.withBackoff(StatedBackoff.of(Duration.ofSeconds(3)));
+if(refusesCalls){
+EndpointSignal statement=EndpointSignal.NONE.withBackoff(RequestedBackoff.of(Duration.ofSeconds(3)));
 fleet.signals().recordCallAnswer(engine,statement);
 return CompletableFuture.failedFuture(new BackoffRequestedException());
       }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/relay/PathPlannerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/relay/PathPlannerTest.java
@@ -224,7 +224,7 @@
     AcceleratorProfile accelerator =
         Models.eightyLayers().accelerator(engine.endpoint().accelerator()).get();
     int held = engine.endpoint().layers().get().size();
-double capacity=Models.eightyLayers().roomTokenLayers(accelerator,held);
+double capacity=Models.eightyLayers().tokenLayerCapacity(accelerator,held);
 double needed=engine.totalTokenLayers()+1000.0*part.layers().size();
     // An engine whose configured memory is too small for its own layers refuses requests itself.
 assertTrue(capacity<=0||needed<=capacity,part+" needs "+needed+" of "+capacity);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/OnceService.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/OnceService.java
@@ -136,7 +136,7 @@
     try {
       home = TicketIssuer.homeOf(ticket);
     } catch (IllegalArgumentException e) {
-      return refused(Refusal.before(Reason.UNKNOWN_TICKET, e.getMessage()));
+      return refused(Refusal.nothingSent(Reason.UNKNOWN_TICKET, e.getMessage()));
     }
     OnceRequest request = request(ticket, true, workspace, work, options);
     return ticketIssuer.isResponsibleFor(home) ? runLocally(request, live) : forward(home, request);
@@ -182,16 +182,16 @@
    */
   private CompletableFuture<OnceOutcome> refuseUnclaimed(OnceRequest request, Throwable failure) {
     counters.count(Metric.CLAIMS, "unavailable");
-    Refusal refusal = RefusalException.refusalOf(failure);
-    Refusal nothingRan = Refusal.before(refusal.reason(), refusal.detail());
-    records.finish(request.recordId(), new OnceOutcome.Refused(nothingRan));
-    return refused(refusal.withoutProof());
+Refusal refusal=RefusalException.refusalOf(failure);
+Refusal nothingRan=Refusal.nothingSent(refusal.reason(),refusal.detail());
+records.finish(request.recordId(),new OnceOutcome.Refused(nothingRan));
+return refused(refusal.withoutProof());
   }
 
   private CompletableFuture<OnceOutcome> followClaim(
       Claim held, String workspace, OnceWork work, CallerOptions options, AnswerSink live) {
     if (!held.bodyHash().equals(work.hash())) {
-      return refused(Refusal.before(Reason.KEY_REUSED, "the first request had another body"));
+      return refused(Refusal.nothingSent(Reason.KEY_REUSED, "the first request had another body"));
     }
     OnceRequest request =
         request(CLAIM_RECORD_PREFIX + held.claimId(), false, workspace, work, options);
@@ -206,7 +206,7 @@
     if (!request.recordId().startsWith(CLAIM_RECORD_PREFIX)) {
       switch (ticketIssuer.verify(request.recordId())) {
         case FORGED -> {
-          return refused(Refusal.before(Reason.UNKNOWN_TICKET, "the signature is not ours"));
+          return refused(Refusal.nothingSent(Reason.UNKNOWN_TICKET, "the signature is not ours"));
         }
         case EXPIRED -> mayCreate = false;
         case VALID -> {}
--- a/vaneworks/src/main/java/org/vaneworks/coordination/RequestDispatcher.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/RequestDispatcher.java
@@ -180,12 +180,12 @@
       String workspace, CompletionBody body, CallerOptions options) {
     WorkspacePlan plan = planOf(workspace);
     if (body.prompt().isEmpty()) {
-      throw Refusal.before(Reason.INVALID_FIELD, "messages: must not be empty").toException();
+      throw Refusal.nothingSent(Reason.INVALID_FIELD, "messages: must not be empty").toException();
     }
     int maxTokens = body.maxTokens().orElse(plan.maxTokens());
     if (maxTokens < 1 || maxTokens > plan.maxTokens()) {
       String detail = "max_tokens: is " + maxTokens + ", allowed: 1 to " + plan.maxTokens();
-      throw Refusal.before(Reason.INVALID_FIELD, detail).toException();
+      throw Refusal.nothingSent(Reason.INVALID_FIELD, detail).toException();
     }
     return new CompletionRequest(
         plan,
@@ -200,7 +200,7 @@
     return configuration
         .snapshot()
         .plan(workspace)
-        .orElseThrow(() -> Refusal.before(Reason.UNKNOWN_WORKSPACE, workspace).toException());
+        .orElseThrow(() -> Refusal.nothingSent(Reason.UNKNOWN_WORKSPACE, workspace).toException());
   }
 
   private AnswerSink countingSink(AnswerSink sink) {
@@ -261,7 +261,7 @@
     Refusal refusal =
         outcome instanceof OnceOutcome.Refused refused
             ? refused.refusal()
-            : Refusal.before(Reason.KEY_REUSED, "the record is that of a completion");
+            : Refusal.nothingSent(Reason.KEY_REUSED, "the record is that of a completion");
     return CompletableFuture.failedFuture(refusal.toException());
   }
 
@@ -271,9 +271,9 @@
       ServiceSpec spec =
           planOf(workspace)
               .service(service)
-              .orElseThrow(() -> Refusal.before(Reason.UNKNOWN_SERVICE, service).toException());
-      boolean repeatableByRule = spec.repeatable(call.method(), call.path());
-      boolean repeatable = repeatableByRule && options.repeatable().orElse(true);
+.orElseThrow(()->Refusal.nothingSent(Reason.UNKNOWN_SERVICE,service).toException());
+boolean repeatableByRule=spec.repeatable(call.method(),call.path());
+boolean repeatable=repeatableByRule&&options.repeatable().orElse(true);
       return services.call(service, call, repeatable, options.deadline());
     } catch (RefusalException e) {
       return CompletableFuture.failedFuture(e);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionControl.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionControl.java
@@ -135,7 +135,8 @@
    */
   @CanIgnoreReturnValue
   public boolean withdraw(CompletableFuture<Admission> outcome) {
-    Refusal gone = Refusal.before(Reason.CALLER_GONE, "the caller left while the request waited");
+    Refusal gone =
+        Refusal.nothingSent(Reason.CALLER_GONE, "the caller left while the request waited");
     return outcome.completeExceptionally(gone.toException());
   }
 
@@ -173,7 +174,7 @@
     int occupied = inFlightByWorkspace.getOrDefault(workspace, 0) + queue.waitingCount(workspace);
     if (occupied >= share) {
       return Optional.of(
-          Refusal.before(
+          Refusal.nothingSent(
                   Reason.WORKSPACE_LIMIT,
                   "limits.maxInFlight of " + workspace + " is " + total + ", here " + share)
               .withRetryAfter(retryAfter(1)));
@@ -189,13 +190,13 @@
     int ahead = queue.countAhead(queued.flow());
     if (planner.plan(queued.query()).isEmpty()) {
       return Optional.of(
-          Refusal.before(
+          Refusal.nothingSent(
                   Reason.NO_ENDPOINT, "no live engines cover model " + request.plan().model())
               .withRetryAfter(Duration.ofSeconds(1)));
     }
     if (queue.waitingCount(request.plan().workspace()) >= request.plan().maxQueue()) {
       return Optional.of(
-          Refusal.before(Reason.QUEUE_FULL, "limits.maxQueue is " + request.plan().maxQueue())
+          Refusal.nothingSent(Reason.QUEUE_FULL, "limits.maxQueue is " + request.plan().maxQueue())
               .withRetryAfter(retryAfter(ahead)));
     }
     Duration maxWait = maxWait(request);
@@ -232,8 +233,8 @@
   }
 
   @GuardedBy("this")
-  private Refusal latencyRefusal(int ahead, String detail) {
-    return Refusal.before(Reason.LATENCY_BOUND, detail).withRetryAfter(retryAfter(ahead));
+private Refusal latencyRefusal(int ahead,String detail){
+return Refusal.nothingSent(Reason.LATENCY_BOUND,detail).withRetryAfter(retryAfter(ahead));
   }
 
   @GuardedBy("this")
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointBackoffs.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointBackoffs.java
@@ -4,7 +4,7 @@
 import static java.util.concurrent.TimeUnit.NANOSECONDS;
 
 import io.servicetalk.concurrent.Executor;
-import org.vaneworks.state.StatedBackoff;
+import org.vaneworks.state.RequestedBackoff;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.telemetry.Event;
 import org.vaneworks.telemetry.EventLog;
@@ -31,16 +31,17 @@
    * @param backoff the backoff of the incarnation that answered, even if that incarnation is no
    *     longer listed
    */
-  void recordAnswer(FleetEndpoint endpoint, Backoff backoff, StatedBackoff requested) {
-    if (requested.isUnreadable()) {
+void recordAnswer(FleetEndpoint endpoint,Backoff backoff,RequestedBackoff requested){
+if(requested.isUnreadable()){
       counters.count(Metric.ENDPOINT_BACKOFFS, "unreadable");
       EventLog.warn(Event.ENDPOINT_BACKOFF_UNREADABLE, "endpoint", endpoint.id());
-    } else if (requested.isAsked()) {
-      apply(endpoint, backoff, requested);
+}
+else if(requested.isRequested()){
+apply(endpoint,backoff,requested);
     }
   }
 
-  private void apply(FleetEndpoint endpoint, Backoff backoff, StatedBackoff requested) {
+private void apply(FleetEndpoint endpoint,Backoff backoff,RequestedBackoff requested){
     counters.count(Metric.ENDPOINT_BACKOFFS, "asked");
     if (!backoff.isInForce(now())) {
       EventLog.info(
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointRateLimit.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointRateLimit.java
@@ -1,6 +1,6 @@
 package org.vaneworks.coordination.fleet;
 
-import org.vaneworks.state.StatedLimit;
+import org.vaneworks.state.AdvertisedRateLimit;
 
 /**
  * The rate limit of one endpoint, which applies to the requests of all nodes together, and this
@@ -13,8 +13,8 @@
 public final class EndpointRateLimit {
   private static final double NANOS_PER_SECOND = 1e9;
 
-  private StatedLimit limit = StatedLimit.none();
-  private long receivedAt = Long.MIN_VALUE / 2;
+private AdvertisedRateLimit limit=AdvertisedRateLimit.none();
+private long receivedAt=Long.MIN_VALUE/2;
   private long changedAt = Long.MIN_VALUE / 2;
   private long receivedFirstHandAt = Long.MIN_VALUE / 2;
   private double share;
@@ -24,8 +24,8 @@
   EndpointRateLimit() {}
 
   /** Returns the limit that the endpoint last announced, to this node or to a peer. */
-  public StatedLimit limit() {
-    return limit;
+public AdvertisedRateLimit limit(){
+return limit;
   }
 
   /** Returns whether the endpoint limits the request rate. */
@@ -51,9 +51,9 @@
     return receivedFirstHandAt;
   }
 
-  void update(StatedLimit newest, long newestReceivedAt) {
-    if (newest.isLimited() != limit.isLimited()) {
-      requestsSinceChange = 0;
+void update(AdvertisedRateLimit newest,long newestReceivedAt){
+if(newest.isLimited()!=limit.isLimited()){
+requestsSinceChange=0;
       share = 0;
       changedAt = newestReceivedAt;
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointRateLimits.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointRateLimits.java
@@ -9,7 +9,7 @@
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import org.vaneworks.state.StatedLimit;
+import org.vaneworks.state.AdvertisedRateLimit;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.telemetry.Event;
 import org.vaneworks.telemetry.EventLog;
@@ -45,12 +45,13 @@
   }
 
   /** Processes the limit that an endpoint's answer to this node announces. */
-  public void recordFromEndpoint(TrackedEndpoint endpoint, StatedLimit limit) {
-    if (limit.isUnreadable()) {
-      recordUnreadable(endpoint);
-    } else if (limit.isLimited() || known.contains(endpoint)) {
-      endpoint.rateLimit().recordFirstHand(now());
-      apply(endpoint, limit, now(), "endpoint");
+public void recordFromEndpoint(TrackedEndpoint endpoint,AdvertisedRateLimit limit){
+if(limit.isUnreadable()){
+recordUnreadable(endpoint);
+}
+else if(limit.isLimited()||known.contains(endpoint)){
+endpoint.rateLimit().recordFirstHand(now());
+apply(endpoint,limit,now(),"endpoint");
     }
   }
 
@@ -66,21 +67,21 @@
    *
    * @param receivedAt when the peer received the limit, in nanoseconds on this node's clock
    */
-  public void recordFromPeer(TrackedEndpoint endpoint, StatedLimit limit, long receivedAt) {
-    if (receivedAt > endpoint.rateLimit().receivedAt()) {
-      apply(endpoint, limit, receivedAt, "peer");
+public void recordFromPeer(TrackedEndpoint endpoint,AdvertisedRateLimit limit,long receivedAt){
+if(receivedAt>endpoint.rateLimit().receivedAt()){
+apply(endpoint,limit,receivedAt,"peer");
     }
   }
 
-  private void apply(TrackedEndpoint endpoint, StatedLimit limit, long receivedAt, String source) {
-    log(endpoint, limit, source);
-    endpoint.rateLimit().update(limit, receivedAt);
+private void apply(TrackedEndpoint endpoint,AdvertisedRateLimit limit,long receivedAt,String source){
+log(endpoint,limit,source);
+endpoint.rateLimit().update(limit,receivedAt);
     known.add(endpoint);
   }
 
-  private void log(TrackedEndpoint endpoint, StatedLimit limit, String source) {
-    EndpointRateLimit current = endpoint.rateLimit();
-    if (current.limit().isLimited() == limit.isLimited()) {
+private void log(TrackedEndpoint endpoint,AdvertisedRateLimit limit,String source){
+EndpointRateLimit current=endpoint.rateLimit();
+if(current.limit().isLimited()==limit.isLimited()){
       return;
     }
     counters.count(Metric.ENDPOINT_LIMITS, limit.isLimited() ? "named" : "over");
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointSignals.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointSignals.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.telemetry.Metric;
 
@@ -86,23 +86,21 @@
   }
 
   /** Processes the signals on an endpoint's answer to a request. */
-  public void recordAnswer(TrackedEndpoint endpoint, EndpointStatement received) {
+public void recordAnswer(TrackedEndpoint endpoint,EndpointSignal received){
     // If the entry lapsed and reappeared in the meantime, the table has another object for it.
-    rateLimits.recordFromEndpoint(
-        listed.apply(endpoint.endpoint()).orElse(endpoint), received.limit());
-    apply(endpoint.endpoint(), endpoint.signals(), received);
+rateLimits.recordFromEndpoint(listed.apply(endpoint.endpoint()).orElse(endpoint),received.limit());
+apply(endpoint.endpoint(),endpoint.signals(),received);
   }
 
   /** Processes the signals on an engine's answer to a report request or an order. */
-  public void recordCallAnswer(FleetEndpoint engine, EndpointStatement received) {
-    apply(engine, of(engine), received);
+public void recordCallAnswer(FleetEndpoint engine,EndpointSignal received){
+apply(engine,of(engine),received);
   }
 
-  private void apply(
-      FleetEndpoint endpoint, IncarnationSignals recorded, EndpointStatement received) {
-    backoffs.recordAnswer(endpoint, recorded.backoff(), received.backoff());
-    if (received.leaving() && !recorded.isLeaving()) {
-      recorded.markLeaving();
+private void apply(FleetEndpoint endpoint,IncarnationSignals recorded,EndpointSignal received){
+backoffs.recordAnswer(endpoint,recorded.backoff(),received.backoff());
+if(received.leaving()&&!recorded.isLeaving()){
+recorded.markLeaving();
       listed.apply(endpoint).ifPresent(onLeaving);
     }
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineControl.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineControl.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiConsumer;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.LayerRange;
 
@@ -55,7 +55,8 @@
    * Registers a listener for the signals on an engine's answer, called before the answer is
    * processed.
    */
-  default void onStatement(BiConsumer<FleetEndpoint, EndpointStatement> listener) {}
+default void onStatement(BiConsumer<FleetEndpoint,EndpointSignal>listener){
+}
 
   /** Closes the connections to an address whose process is down. */
   default void closeConnections(HostPort address) {}
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/FleetEndpoint.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/FleetEndpoint.java
@@ -50,7 +50,7 @@
   public String incarnationId() {
     return incarnation.isKnown()
         ? id + "@" + incarnation.startedAt().getAsLong()
-        : id + "#" + listedAt.number();
+        : id + "#" + listedAt.toLong();
   }
 
   /** Creates an endpoint that does not report its start time. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
@@ -94,9 +94,8 @@
     this.request = request;
     this.response = response;
     this.onDone = onDone;
-    this.service = route.service(context.random().nextDouble());
-    this.selector =
-        new EndpointSelector(
+this.service=route.selectService(context.random().nextDouble());
+this.selector=new EndpointSelector(
             context,
             service,
             configuration.service(service).flatMap(ServiceProfile::model),
@@ -495,9 +494,8 @@
     }
     Refusal refusal;
     if (runs == 0 && lastVerdict == Verdict.NOT_RUN) {
-      Reason reason =
-          denial == ResendDenial.NO_CAPACITY ? Reason.NO_ENDPOINT : Reason.ENDPOINT_OVERLOADED;
-      refusal = Refusal.before(reason, detail).withRetryAfter(retryAfter());
+Reason reason=denial==ResendDenial.NO_CAPACITY?Reason.NO_ENDPOINT:Reason.ENDPOINT_OVERLOADED;
+refusal=Refusal.nothingSent(reason,detail).withRetryAfter(retryAfter());
     } else {
       refusal = Refusal.mayHaveRun(Reason.ENDPOINT_LOST, detail);
     }
@@ -534,7 +532,7 @@
     close();
     Refusal refusal =
         runs == 0 && !mayRunNow
-            ? Refusal.before(Reason.NOT_STARTED_IN_TIME, "no place").withRetryAfter(retryAfter())
+?Refusal.nothingSent(Reason.NOT_STARTED_IN_TIME,"no place").withRetryAfter(retryAfter())
             : Refusal.mayHaveRun(Reason.DEADLINE, "the time limit passed");
     refuse(refusal);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
@@ -217,9 +217,8 @@
     stopping = true;
   }
 
-  private CallerResponse.Listener refuse(
-      CallerRequest request, CallerResponse response, Reason reason, String detail) {
-    Refusal refusal = Refusal.before(reason, detail);
+private CallerResponse.Listener refuse(CallerRequest request,CallerResponse response,Reason reason,String detail){
+Refusal refusal=Refusal.nothingSent(reason,detail);
     if (reason.status() == 503) {
       refusal = refusal.withRetryAfter(RETRY_AFTER);
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
@@ -71,7 +71,7 @@
 
   /** Returns the refusal of a quarantined request that was never sent. */
   Refusal refusal() {
-    return Refusal.before(Reason.QUARANTINED, "content " + content())
+    return Refusal.nothingSent(Reason.QUARANTINED, "content " + content())
         .withRetryAfter(context.quarantine().remaining(content()));
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResponseHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResponseHead.java
@@ -1,7 +1,7 @@
 package org.vaneworks.coordination.forwarding;
 
 import java.util.Optional;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 
 /** The parts of an endpoint's response head that forwarding decisions use. */
@@ -22,7 +22,7 @@
   Optional<HostPort> obstacle();
 
   /** Returns the endpoint's statement about its own state. */
-  EndpointStatement statement();
+EndpointSignal statement();
 
   /** Returns whether the status is 2xx. */
   default boolean success() {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceRecordTable.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/OnceRecordTable.java
@@ -82,7 +82,7 @@
       return mayCreate ? create(recordId, bodyHash) : refuse(recordGone());
     }
     if (!entry.bodyHash.equals(bodyHash)) {
-      return refuse(Refusal.before(Reason.KEY_REUSED, "the first request had another body"));
+      return refuse(Refusal.nothingSent(Reason.KEY_REUSED, "the first request had another body"));
     }
     if (entry.mayRestart()) {
       entry.running = true;
@@ -96,7 +96,7 @@
     removeExpired();
     if (entries.size() >= limits.maxRecords() || bytes >= limits.maxBytes()) {
       return refuse(
-          Refusal.before(Reason.RECORDS_FULL, entries.size() + " records")
+          Refusal.nothingSent(Reason.RECORDS_FULL, entries.size() + " records")
               .withRetryAfter(Duration.ofSeconds(5)));
     }
     entries.put(recordId, new Entry(bodyHash, now()));
--- a/vaneworks/src/main/java/org/vaneworks/coordination/relay/PathPlanner.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/relay/PathPlanner.java
@@ -343,8 +343,7 @@
     return new EngineCost(
         perLayer * noise,
         fixed * noise,
-        model.roomTokenLayers(accelerator, held),
-        used,
+model.tokenLayerCapacity(accelerator,held),used,
         size.tokens());
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointAnswerHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointAnswerHead.java
@@ -3,7 +3,7 @@
 import io.servicetalk.http.api.HttpResponseMetaData;
 import java.util.Optional;
 import org.vaneworks.coordination.forwarding.ResponseHead;
-import org.vaneworks.state.EndpointStatement;
+import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 
 /**
@@ -20,8 +20,7 @@
     boolean notRun,
     boolean matches,
     Optional<HostPort> obstacle,
-    EndpointStatement statement)
-    implements ResponseHead {
+EndpointSignal statement)implements ResponseHead{
   @Override
   public int status() {
     return response.status().code();
