--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
@@ -281,7 +281,9 @@
       drain.arrived(request.node, nowMillis());
       if (holdsNothing()) {
         request.sent.end(SendRecord.End.TURNED_AWAY);
-FakeResponseHead head=new FakeResponseHead(MISDIRECTED,true,true,Optional.of(endpoint.address()),EndpointSignal.NONE);
+        FakeResponseHead head =
+            new FakeResponseHead(
+                MISDIRECTED, true, true, Optional.of(endpoint.address()), EndpointSignal.NONE);
         request.tell(() -> request.listener.head(head));
         return;
       }
@@ -300,8 +302,8 @@
       later(BEGINS_AFTER_MILLIS, () -> begin(request));
     }
 
-private FakeResponseHead turnedAway(int node,boolean heard){
-RequestedBackoff stated=RequestedBackoff.none();
+    private FakeResponseHead turnedAway(int node, boolean heard) {
+      RequestedBackoff stated = RequestedBackoff.none();
       if (turnsAwayForMillis.getAsInt() > 0) {
         if (heard) {
           backoffs.asked(node, nowMillis(), turnsAwayForMillis.getAsInt());
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/ConfigurationSchedule.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/ConfigurationSchedule.java
@@ -159,8 +159,8 @@
       if (!change.isCompletedExceptionally()) {
         continue;
       }
-Throwable failureCause=change.handle((done,failure)->Async.causeOf(failure)).join();
-if(failureCause instanceof ConflictException&&head.historyContains("change-"+(i+2))){
+      Throwable failureCause = change.handle((done, failure) -> Async.causeOf(failure)).join();
+      if (failureCause instanceof ConflictException && head.historyContains("change-" + (i + 2))) {
         problems.add("change-" + (i + 2) + " is in force, but was reported as in conflict");
       }
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/FleetTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/FleetTest.java
@@ -77,8 +77,8 @@
     assertEquals(0, usable());
   }
 
-private static EndpointSignal leavingSignal(){
-return EndpointSignal.NONE.asLeaving();
+  private static EndpointSignal leavingSignal() {
+    return EndpointSignal.NONE.asLeaving();
   }
 
   /** Guards against a shutdown announcement that is accepted only from the endpoint list. */
@@ -173,8 +173,8 @@
   @Test
   void answerWithoutAnnouncementDoesNotRevokeIt() {
     fleet.put(endpoint("a", false));
-fleet.signals().recordAnswer(fleet.all().get(0),leavingSignal());
-fleet.signals().recordAnswer(fleet.all().get(0),EndpointSignal.NONE);
+    fleet.signals().recordAnswer(fleet.all().get(0), leavingSignal());
+    fleet.signals().recordAnswer(fleet.all().get(0), EndpointSignal.NONE);
     assertEquals(0, usable());
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/HealthCheckerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/HealthCheckerTest.java
@@ -290,18 +290,18 @@
     pace = 3;
     health.checkPace(engine);
     clock.advance(Duration.ofMillis(100));
-fleet.signals().rateLimits().recordFromEndpoint(engine,AdvertisedRateLimit.of(2));
-int probesBefore=probes;
+    fleet.signals().rateLimits().recordFromEndpoint(engine, AdvertisedRateLimit.of(2));
+    int probesBefore = probes;
     clock.advance(Duration.ofSeconds(5));
-assertEquals(probesBefore,probes);
-fleet.signals().rateLimits().recordFromEndpoint(engine,AdvertisedRateLimit.none());
+    assertEquals(probesBefore, probes);
+    fleet.signals().rateLimits().recordFromEndpoint(engine, AdvertisedRateLimit.none());
     clock.advance(Duration.ofSeconds(2));
     assertTrue(probes > probesBefore, probes + " probes");
   }
 
-private void requestBackoff(int seconds){
-RequestedBackoff backoff=RequestedBackoff.of(Duration.ofSeconds(seconds));
-fleet.signals().recordCallAnswer(engine.endpoint(),EndpointSignal.NONE.withBackoff(backoff));
+  private void requestBackoff(int seconds) {
+    RequestedBackoff backoff = RequestedBackoff.of(Duration.ofSeconds(seconds));
+    fleet.signals().recordCallAnswer(engine.endpoint(), EndpointSignal.NONE.withBackoff(backoff));
   }
 
   @Test
@@ -359,9 +359,9 @@
   }
 
   @Test
-void probeCountsAgainstRateLimit(){
-fleet.signals().rateLimits().recordFromEndpoint(engine,AdvertisedRateLimit.of(2));
-engine.rateLimit().setShare(2,1,clock.currentTime(NANOSECONDS));
+  void probeCountsAgainstRateLimit() {
+    fleet.signals().rateLimits().recordFromEndpoint(engine, AdvertisedRateLimit.of(2));
+    engine.rateLimit().setShare(2, 1, clock.currentTime(NANOSECONDS));
     clock.advance(Duration.ofMillis(600));
     assertTrue(engine.usable(clock.currentTime(NANOSECONDS)));
     health.check(engine);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FailoverTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FailoverTest.java
@@ -19,8 +19,11 @@
 final class FailoverTest {
   private final ForwardingFixture node = new ForwardingFixture();
 
-private void fillCapacity(FleetEndpoint other){
-node.fleet.find(ForwardingFixture.MODEL,other.address()).orElseThrow().setPeerLoad(100,1e9,1);
+  private void fillCapacity(FleetEndpoint other) {
+    node.fleet
+        .find(ForwardingFixture.MODEL, other.address())
+        .orElseThrow()
+        .setPeerLoad(100, 1e9, 1);
   }
 
   private void setRetryBudget(double reserve) {
@@ -158,11 +161,11 @@
     for (int i = 0; i < 4; i++) {
       streams.add(startStream("/stream/" + i));
     }
-registerFullEngines();
-setRetryBudget(1);
-silence(engine);
-assertEquals(4,node.sent.size(),"sends before there is capacity");
-node.fleet.all().forEach(any->any.setPeerLoad(0,0,1));
+    registerFullEngines();
+    setRetryBudget(1);
+    silence(engine);
+    assertEquals(4, node.sent.size(), "sends before there is capacity");
+    node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
     node.advance(40);
     assertEquals(5, node.sent.size(), "one stream failed over");
     assertTrue(waitMillisOfNewRequest() <= 100, "a new request waited while there was capacity");
@@ -342,9 +345,9 @@
     silence(engine);
     assertEquals(3, node.sent.size());
     // Exhausts the budget, as failures of other requests would.
-setRetryBudget(0);
-node.fleet.all().forEach(any->any.setPeerLoad(0,0,1));
-assertTrue(waitMillisOfNewRequest()<=100,"a new request waited while there was capacity");
+    setRetryBudget(0);
+    node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
+    assertTrue(waitMillisOfNewRequest() <= 100, "a new request waited while there was capacity");
   }
 
   // The same on a node with a high recent start rate.
@@ -358,11 +361,11 @@
     for (int i = 0; i < 4; i++) {
       startStream("/stream/" + i);
     }
-registerFullEngines();
-setRetryBudget(1);
-silence(engine);
-assertEquals(44,node.sent.size(),"sends before there is capacity");
-node.fleet.all().forEach(any->any.setPeerLoad(0,0,1));
+    registerFullEngines();
+    setRetryBudget(1);
+    silence(engine);
+    assertEquals(44, node.sent.size(), "sends before there is capacity");
+    node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
     node.advance(40);
     assertEquals(45, node.sent.size(), "one stream failed over");
     assertTrue(waitMillisOfNewRequest() <= 100, "a new request waited while there was capacity");
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FakeResponseHead.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FakeResponseHead.java
@@ -13,29 +13,30 @@
     boolean notRun,
     boolean matches,
     Optional<HostPort> obstacle,
-EndpointSignal statement)implements ResponseHead{
+    EndpointSignal statement)
+    implements ResponseHead {
   /** Returns a head with the given status that matches the request. */
-public static FakeResponseHead of(int status){
-return of(status,EndpointSignal.NONE);
+  public static FakeResponseHead of(int status) {
+    return of(status, EndpointSignal.NONE);
   }
 
   /** Returns such a head with a stated rate limit. */
-public static FakeResponseHead of(int status,AdvertisedRateLimit limit){
-return of(status,EndpointSignal.NONE.withLimit(limit));
+  public static FakeResponseHead of(int status, AdvertisedRateLimit limit) {
+    return of(status, EndpointSignal.NONE.withLimit(limit));
   }
 
   /** Returns such a head with the given statement. */
-public static FakeResponseHead of(int status,EndpointSignal statement){
-return new FakeResponseHead(status,false,true,Optional.empty(),statement);
+  public static FakeResponseHead of(int status, EndpointSignal statement) {
+    return new FakeResponseHead(status, false, true, Optional.empty(), statement);
   }
 
   /** Returns the head of a rejection, with a stated backoff. */
-public static FakeResponseHead rejected(RequestedBackoff backoff){
-return rejected(EndpointSignal.NONE.withBackoff(backoff));
+  public static FakeResponseHead rejected(RequestedBackoff backoff) {
+    return rejected(EndpointSignal.NONE.withBackoff(backoff));
   }
 
   /** Returns the head of a rejection, with the given statement. */
-public static FakeResponseHead rejected(EndpointSignal statement){
-return new FakeResponseHead(503,true,true,Optional.empty(),statement);
+  public static FakeResponseHead rejected(EndpointSignal statement) {
+    return new FakeResponseHead(503, true, true, Optional.empty(), statement);
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwarderTest.java
@@ -136,11 +136,13 @@
   @Test
   void responseToAnotherRequestIsNotForwarded() {
     node.replica(1);
-RecordedResponse response=node.request("/unsafe/x");
-node.lastAttempt().listener.head(new FakeResponseHead(200,false,false,Optional.empty(),EndpointSignal.NONE));
-assertTrue(node.lastAttempt().cancelled);
-assertTrue(response.status.isEmpty());
-assertEquals(Verdict.MAY_HAVE_RUN,response.refusal.get().verdict());
+    RecordedResponse response = node.request("/unsafe/x");
+    node.lastAttempt()
+        .listener
+        .head(new FakeResponseHead(200, false, false, Optional.empty(), EndpointSignal.NONE));
+    assertTrue(node.lastAttempt().cancelled);
+    assertTrue(response.status.isEmpty());
+    assertEquals(Verdict.MAY_HAVE_RUN, response.refusal.get().verdict());
   }
 
   @Test
@@ -254,8 +256,8 @@
     }
   }
 
-private void freeEngines(){
-node.fleet.all().forEach(engine->engine.setPeerLoad(0,0,1));
+  private void freeEngines() {
+    node.fleet.all().forEach(engine -> engine.setPeerLoad(0, 0, 1));
   }
 
   @Test
@@ -526,10 +528,10 @@
   void nonResumableStreamFailsOverIfEngineDiesBeforeConnecting() {
     node.engine(1, 0, 80);
     node.engine(2, 0, 80);
-node.request("/once/x");
-HostPort dead=node.lastAttempt().attempt.endpoint().address();
-node.lastAttempt().arrived=false;
-node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL,dead).get(),"test");
+    node.request("/once/x");
+    HostPort dead = node.lastAttempt().attempt.endpoint().address();
+    node.lastAttempt().arrived = false;
+    node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL, dead).get(), "test");
     assertEquals(2, node.sent.size());
     assertTrue(node.sent.get(0).cancelled);
   }
@@ -542,9 +544,9 @@
     }
     RecordedResponse response = node.request("/stream/x");
     for (int dead = 1; dead <= 3; dead++) {
-node.lastAttempt().arrived=false;
-HostPort address=node.lastAttempt().attempt.endpoint().address();
-node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL,address).get(),"test");
+      node.lastAttempt().arrived = false;
+      HostPort address = node.lastAttempt().attempt.endpoint().address();
+      node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL, address).get(), "test");
     }
     assertEquals(3, node.sent.size());
     assertEquals(Verdict.NOT_RUN, response.refusal.get().verdict());
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
@@ -24,11 +24,12 @@
   /** States a backoff in the response to a call that is not a forwarded request. */
   private void backOff(FleetEndpoint endpoint, Duration length) {
     node.fleet
-.signals().recordCallAnswer(endpoint,EndpointSignal.NONE.withBackoff(RequestedBackoff.of(length)));
+        .signals()
+        .recordCallAnswer(endpoint, EndpointSignal.NONE.withBackoff(RequestedBackoff.of(length)));
   }
 
-private void reject(Duration length){
-node.lastAttempt().listener.head(FakeResponseHead.rejected(RequestedBackoff.of(length)));
+  private void reject(Duration length) {
+    node.lastAttempt().listener.head(FakeResponseHead.rejected(RequestedBackoff.of(length)));
   }
 
   private void sendRequestsForSeconds(int seconds) {
@@ -124,8 +125,8 @@
   @Test
   void unreadableBackoffIsShort() {
     FleetEndpoint only = node.replica(1);
-node.request("/safe/x");
-node.lastAttempt().listener.head(FakeResponseHead.rejected(RequestedBackoff.unreadable()));
+    node.request("/safe/x");
+    node.lastAttempt().listener.head(FakeResponseHead.rejected(RequestedBackoff.unreadable()));
     node.advance(250);
     node.request("/safe/x");
     assertTrue(sentTo(only) >= 2);
@@ -134,9 +135,11 @@
   @Test
   void misdirectedResponseSetsNoBackoff() {
     FleetEndpoint only = node.replica(1);
-node.request("/safe/x");
-EndpointSignal statement=EndpointSignal.NONE.withBackoff(RequestedBackoff.of(BACKOFF));
-node.lastAttempt().listener.head(new FakeResponseHead(421,true,true,Optional.empty(),statement));
+    node.request("/safe/x");
+    EndpointSignal statement = EndpointSignal.NONE.withBackoff(RequestedBackoff.of(BACKOFF));
+    node.lastAttempt()
+        .listener
+        .head(new FakeResponseHead(421, true, true, Optional.empty(), statement));
     node.advance(900);
     node.request("/safe/x");
     assertTrue(sentTo(only) >= 2);
@@ -145,9 +148,9 @@
   @Test
   void restartedEndpointThatHadLeftGetsRequests() {
     FleetEndpoint only = node.replica(1);
-node.fleet.signals().recordCallAnswer(only,EndpointSignal.NONE.asLeaving());
-node.restart(only);
-node.request("/safe/x");
+    node.fleet.signals().recordCallAnswer(only, EndpointSignal.NONE.asLeaving());
+    node.restart(only);
+    node.request("/safe/x");
     assertEquals(1, node.sent.size());
   }
 
@@ -171,8 +174,8 @@
     }
     node.engine(3, 0, 40);
     node.engine(4, 40, 80);
-backOff(first,Duration.ofSeconds(10));
-node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL,second.address()).get(),"silent");
+    backOff(first, Duration.ofSeconds(10));
+    node.fleet.suspect(node.fleet.find(ForwardingFixture.MODEL, second.address()).get(), "silent");
     node.advance(1000);
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingFixture.java
@@ -99,7 +99,7 @@
     }
 
     void notRun(int status, Optional<HostPort> obstacle) {
-listener.head(new FakeResponseHead(status,true,true,obstacle,EndpointSignal.NONE));
+      listener.head(new FakeResponseHead(status, true, true, obstacle, EndpointSignal.NONE));
     }
 
     void event(int id) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RunningAttemptTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/RunningAttemptTest.java
@@ -257,8 +257,11 @@
   }
 
   /** Lets requests of other nodes use all memory of an engine. */
-private void fillCapacity(FleetEndpoint other){
-node.fleet.find(ForwardingFixture.MODEL,other.address()).orElseThrow().setPeerLoad(100,1e9,1);
+  private void fillCapacity(FleetEndpoint other) {
+    node.fleet
+        .find(ForwardingFixture.MODEL, other.address())
+        .orElseThrow()
+        .setPeerLoad(100, 1e9, 1);
   }
 
   private void exhaustRetryBudget() {
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadDatagramsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadDatagramsTest.java
@@ -33,7 +33,8 @@
           ImmutableList.of(new EndpointLoad(-7, 3, 12_000), new EndpointLoad(9, 1, 0)),
           ImmutableList.of(new EnginePace(9, 4.5)),
           ImmutableList.of(
-new ReportedRateLimit(-7,AdvertisedRateLimit.of(3.3),Duration.ofMillis(250)),new ReportedRateLimit(9,AdvertisedRateLimit.none(),Duration.ZERO)));
+              new ReportedRateLimit(-7, AdvertisedRateLimit.of(3.3), Duration.ofMillis(250)),
+              new ReportedRateLimit(9, AdvertisedRateLimit.none(), Duration.ZERO)));
 
   private static final int REPORTS = 30;
   private static final int MAX_COLLECTIONS = 2000;
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadExchangeTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/LoadExchangeTest.java
@@ -389,35 +389,37 @@
             Incarnation.startedAt(2000)));
   }
 
-private void peerReportsLimit(AdvertisedRateLimit limit,int ageMillis){
-ReportedRateLimit reported=new ReportedRateLimit(
+  private void peerReportsLimit(AdvertisedRateLimit limit, int ageMillis) {
+    ReportedRateLimit reported =
+        new ReportedRateLimit(
             EndpointLoad.keyOf(engine.endpoint()), limit, Duration.ofMillis(ageMillis));
     exchange.receive(
         LoadReport.ofNode(
             "one", ImmutableList.of(), ImmutableList.of(), ImmutableList.of(reported)));
   }
 
-private void engineAnnounces(AdvertisedRateLimit limit){
-fleet.signals().rateLimits().recordFromEndpoint(engine,limit);
+  private void engineAnnounces(AdvertisedRateLimit limit) {
+    fleet.signals().rateLimits().recordFromEndpoint(engine, limit);
   }
 
   @Test
   void limitAnnouncedByEngineIsReportedWithItsAge() {
     exchange.start();
-engineAnnounces(AdvertisedRateLimit.of(3));
+    engineAnnounces(AdvertisedRateLimit.of(3));
     advance(200);
-ReportedRateLimit reported=lastReport.limits().get(0);
-assertEquals(AdvertisedRateLimit.of(3),reported.limit());
-assertTrue(reported.age().toMillis()>=100&&reported.age().toMillis()<=200,reported.toString());
+    ReportedRateLimit reported = lastReport.limits().get(0);
+    assertEquals(AdvertisedRateLimit.of(3), reported.limit());
+    assertTrue(
+        reported.age().toMillis() >= 100 && reported.age().toMillis() <= 200, reported.toString());
   }
 
   @Test
   void endOfLimitIsReportedForAWhile() {
     exchange.start();
-engineAnnounces(AdvertisedRateLimit.of(3));
-engineAnnounces(AdvertisedRateLimit.none());
+    engineAnnounces(AdvertisedRateLimit.of(3));
+    engineAnnounces(AdvertisedRateLimit.none());
     advance(1000);
-assertEquals(AdvertisedRateLimit.none(),lastReport.limits().get(0).limit());
+    assertEquals(AdvertisedRateLimit.none(), lastReport.limits().get(0).limit());
     advance(5000);
     assertEquals(ImmutableList.of(), lastReport.limits());
   }
@@ -425,7 +427,7 @@
   @Test
   void limitReportedByPeerIsInForceAndNotReportedAgain() {
     exchange.start();
-peerReportsLimit(AdvertisedRateLimit.of(3),0);
+    peerReportsLimit(AdvertisedRateLimit.of(3), 0);
     advance(200);
     assertEquals(ImmutableList.of(engine), fleet.signals().rateLimits().inForce());
     assertEquals(ImmutableList.of(), lastReport.limits());
@@ -437,37 +439,41 @@
         ImmutableList.of(
             new Peer("one", "dc1", PEER_1), new Peer("far", "dc2", new HostPort("10.2.0.1", 7340)));
     exchange.start();
-peerReportsLimit(AdvertisedRateLimit.of(3),0);
+    peerReportsLimit(AdvertisedRateLimit.of(3), 0);
     advance(300);
-LoadReport groupTotal=reports.stream().filter(LoadReport::isGroupTotal).reduce((first,later)->later).orElseThrow();
-assertEquals(AdvertisedRateLimit.of(3),groupTotal.limits().get(0).limit());
+    LoadReport groupTotal =
+        reports.stream()
+            .filter(LoadReport::isGroupTotal)
+            .reduce((first, later) -> later)
+            .orElseThrow();
+    assertEquals(AdvertisedRateLimit.of(3), groupTotal.limits().get(0).limit());
   }
 
   @Test
-void newestLimitAppliesWhoeverReceivedIt(){
-engineAnnounces(AdvertisedRateLimit.of(3));
+  void newestLimitAppliesWhoeverReceivedIt() {
+    engineAnnounces(AdvertisedRateLimit.of(3));
     advance(1000);
-peerReportsLimit(AdvertisedRateLimit.none(),2000);
-assertEquals(ImmutableList.of(engine),fleet.signals().rateLimits().inForce());
-peerReportsLimit(AdvertisedRateLimit.none(),100);
-assertEquals(ImmutableList.of(),fleet.signals().rateLimits().inForce());
-peerReportsLimit(AdvertisedRateLimit.of(3),500);
-assertEquals(ImmutableList.of(),fleet.signals().rateLimits().inForce());
+    peerReportsLimit(AdvertisedRateLimit.none(), 2000);
+    assertEquals(ImmutableList.of(engine), fleet.signals().rateLimits().inForce());
+    peerReportsLimit(AdvertisedRateLimit.none(), 100);
+    assertEquals(ImmutableList.of(), fleet.signals().rateLimits().inForce());
+    peerReportsLimit(AdvertisedRateLimit.of(3), 500);
+    assertEquals(ImmutableList.of(), fleet.signals().rateLimits().inForce());
   }
 
   @Test
-void unreadableLimitIsIgnored(){
-engineAnnounces(AdvertisedRateLimit.of(3));
-engineAnnounces(AdvertisedRateLimit.unreadable());
-assertEquals(ImmutableList.of(engine),fleet.signals().rateLimits().inForce());
+  void unreadableLimitIsIgnored() {
+    engineAnnounces(AdvertisedRateLimit.of(3));
+    engineAnnounces(AdvertisedRateLimit.unreadable());
+    assertEquals(ImmutableList.of(engine), fleet.signals().rateLimits().inForce());
   }
 
   @Test
-void limitOfFormerIncarnationDoesNotAffectTheNext(){
-engineAnnounces(AdvertisedRateLimit.of(3));
-restartEngine();
-peerReportsLimit(AdvertisedRateLimit.of(3),0);
-assertEquals(ImmutableList.of(),fleet.signals().rateLimits().inForce());
+  void limitOfFormerIncarnationDoesNotAffectTheNext() {
+    engineAnnounces(AdvertisedRateLimit.of(3));
+    restartEngine();
+    peerReportsLimit(AdvertisedRateLimit.of(3), 0);
+    assertEquals(ImmutableList.of(), fleet.signals().rateLimits().inForce());
   }
 
   @Test
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/load/RateLimitSharesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/load/RateLimitSharesTest.java
@@ -73,14 +73,14 @@
      * Returns the number of requests that the node starts within the period, each as soon as
      * permitted.
      */
-int countStarts(double limit){
-fleet.signals().rateLimits().recordFromEndpoint(engine,AdvertisedRateLimit.of(limit));
+    int countStarts(double limit) {
+      fleet.signals().rateLimits().recordFromEndpoint(engine, AdvertisedRateLimit.of(limit));
       int starts = 0;
       for (int tick = 0; tick < DURATION_SECONDS * 1000 / CHECK_INTERVAL_MILLIS; tick++) {
         clock.advance(Duration.ofMillis(CHECK_INTERVAL_MILLIS));
         starts += tryStart() ? 1 : 0;
         if (tick % 100 == 0) {
-fleet.signals().rateLimits().recordFromEndpoint(engine,AdvertisedRateLimit.of(limit));
+          fleet.signals().rateLimits().recordFromEndpoint(engine, AdvertisedRateLimit.of(limit));
         }
       }
       return starts;
@@ -146,8 +146,11 @@
   void unusedStartsDoNotAccumulate() {
     boxes = ImmutableList.of("box-0");
     Node node = new Node("box-0", "dc1");
-node.fleet.signals().rateLimits().recordFromEndpoint(node.engine,AdvertisedRateLimit.of(LIMIT));
-node.tryStart();
+    node.fleet
+        .signals()
+        .rateLimits()
+        .recordFromEndpoint(node.engine, AdvertisedRateLimit.of(LIMIT));
+    node.tryStart();
     clock.advance(Duration.ofSeconds(8));
     assertTrue(node.tryStart());
     assertEquals(false, node.tryStart());
@@ -156,7 +159,10 @@
   @Test
   void nodeWithoutShareTriesTheEndpointOnceTheLimitIsOutdated() {
     Node node = new Node("box-1", "dc2");
-node.fleet.signals().rateLimits().recordFromEndpoint(node.engine,AdvertisedRateLimit.of(LIMIT));
+    node.fleet
+        .signals()
+        .rateLimits()
+        .recordFromEndpoint(node.engine, AdvertisedRateLimit.of(LIMIT));
     int starts = 0;
     for (int tick = 0; tick < 3 * DURATION_SECONDS * 1000 / CHECK_INTERVAL_MILLIS; tick++) {
       clock.advance(Duration.ofMillis(CHECK_INTERVAL_MILLIS));
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/RunningStreamTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/RunningStreamTest.java
@@ -102,16 +102,16 @@
     EngineCore other = addEngine("a2", 0, SPLIT_LAYER);
     startStream(NodeLimits.defaults());
     boolean isOnFirst = stateOf(first).inFlight() > 0;
-EngineCore current=isOnFirst?first:other;
-EngineCore suspected=isOnFirst?other:first;
-fleet.node("n1").endpoints().recordStatusFailure(stateOf(suspected));
-int runBefore=suspected.ledger().size();
-freeze(boxOf(current));
-fleet.clock().advance(SHORT_UNRESPONSIVE_TIME);
-thaw(boxOf(current));
-assertDeliveredCompletely();
-assertEquals(runBefore,suspected.ledger().size());
-}
+    EngineCore current = isOnFirst ? first : other;
+    EngineCore suspected = isOnFirst ? other : first;
+    fleet.node("n1").endpoints().recordStatusFailure(stateOf(suspected));
+    int runBefore = suspected.ledger().size();
+    freeze(boxOf(current));
+    fleet.clock().advance(SHORT_UNRESPONSIVE_TIME);
+    thaw(boxOf(current));
+    assertDeliveredCompletely();
+    assertEquals(runBefore, suspected.ledger().size());
+  }
 
   // Guards against a stream that leaves an engine that was unresponsive for a while but answers
   // other streams again.
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/SuspectedEngineStreamTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/SuspectedEngineStreamTest.java
@@ -36,8 +36,8 @@
   @Test
   void onlyEngineRemainsInUseAfterOneLateStatus() {
     fleet.settle();
-table().recordStatusFailure(stateOf(suspected));
-assertDeliveredCompletely(ask());
+    table().recordStatusFailure(stateOf(suspected));
+    assertDeliveredCompletely(ask());
   }
 
   // Guards against sending work to a suspected engine while another engine is not suspected.
@@ -45,9 +45,9 @@
   void otherEngineIsPreferredAfterOneLateStatus() {
     EngineCore other = fleet.addEngine("a2", 0, LAYERS, STEP_MILLIS);
     fleet.settle();
-table().recordStatusFailure(stateOf(suspected));
-assertDeliveredCompletely(ask());
-assertTrue(suspected.ledger().isEmpty());
+    table().recordStatusFailure(stateOf(suspected));
+    assertDeliveredCompletely(ask());
+    assertTrue(suspected.ledger().isEmpty());
     assertEquals(TOKENS, other.ledger().size());
   }
 
@@ -57,9 +57,9 @@
     EngineCore lower = fleet.addEngine("a2", 0, LAYERS / 2, 10 * STEP_MILLIS);
     EngineCore upper = fleet.addEngine("a3", LAYERS / 2, LAYERS, 10 * STEP_MILLIS);
     fleet.settle();
-table().recordStatusFailure(stateOf(suspected));
-assertDeliveredCompletely(ask());
-assertTrue(suspected.ledger().isEmpty());
+    table().recordStatusFailure(stateOf(suspected));
+    assertDeliveredCompletely(ask());
+    assertTrue(suspected.ledger().isEmpty());
     assertEquals(2 * TOKENS, lower.ledger().size() + upper.ledger().size());
   }
 
@@ -67,8 +67,8 @@
   @Test
   void requestIsRefusedAfterTwoLateStatusesOfTheOnlyEngine() {
     fleet.settle();
-table().recordStatusFailure(stateOf(suspected));
-table().recordStatusFailure(stateOf(suspected));
+    table().recordStatusFailure(stateOf(suspected));
+    table().recordStatusFailure(stateOf(suspected));
     assertRefusedAsNotRun(ask());
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
@@ -59,10 +59,11 @@
     @Override
     public CompletableFuture<EngineReport> report(FleetEndpoint engine, Duration limit) {
       reports++;
-if(refusesCalls){
-EndpointSignal statement=EndpointSignal.NONE.withBackoff(RequestedBackoff.of(Duration.ofSeconds(3)));
-fleet.signals().recordCallAnswer(engine,statement);
-return CompletableFuture.failedFuture(new BackoffRequestedException());
+      if (refusesCalls) {
+        EndpointSignal statement =
+            EndpointSignal.NONE.withBackoff(RequestedBackoff.of(Duration.ofSeconds(3)));
+        fleet.signals().recordCallAnswer(engine, statement);
+        return CompletableFuture.failedFuture(new BackoffRequestedException());
       }
       FleetEndpoint now = fleet.find("m", engine.address()).get().endpoint();
       return CompletableFuture.completedFuture(
@@ -231,9 +232,9 @@
 
   // Guards against an engine giving up layers for a gap that was closed before the order was sent.
   @Test
-void engineThatRefusedCallsKeepsItsLayersOnceTheGapIsClosed(){
-TrackedEndpoint suspected=createGapWhileEnginesRefuseCalls();
-fleet.clearSuspicion(suspected);
+  void engineThatRefusedCallsKeepsItsLayersOnceTheGapIsClosed() {
+    TrackedEndpoint suspected = createGapWhileEnginesRefuseCalls();
+    fleet.clearSuspicion(suspected);
     advance(10_000);
     assertEquals(List.of(), engines.loads);
   }
@@ -256,8 +257,8 @@
     engines.refusesCalls = true;
     firstFence = OptionalLong.of(7);
     controller(() -> firstFence);
-TrackedEndpoint suspected=fleet.find("m",address).get();
-fleet.suspect(suspected,"test");
+    TrackedEndpoint suspected = fleet.find("m", address).get();
+    fleet.suspect(suspected, "test");
     advance(1000);
     assertEquals(1, engines.reports);
     engines.refusesCalls = false;
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementPlannerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementPlannerTest.java
@@ -90,8 +90,8 @@
   void replicaHasCapacityForItsRequests() {
     ImmutableMap<String, LayerRange> orders = plan(engines(2, 2, 5));
     LayerRange range = orders.get("large0");
-double tokens=MODEL.tokenLayerCapacity(LARGE,range.size())/range.size();
-assertTrue(tokens>50_000,"capacity for "+tokens);
+    double tokens = MODEL.tokenLayerCapacity(LARGE, range.size()) / range.size();
+    assertTrue(tokens > 50_000, "capacity for " + tokens);
   }
 
   /**
@@ -114,10 +114,10 @@
 
   private static double capacity(List<EngineSnapshot> engines, int layer) {
     double requests = 0;
-for(EngineSnapshot engine:engines){
-LayerRange range=engine.targetLayers().orElse(LayerRange.of(0,1));
-if(engine.targetLayers().isPresent()&&range.from()<=layer&&layer<range.to()){
-double tokens=MODEL.tokenLayerCapacity(engine.accelerator(),range.size())/range.size();
+    for (EngineSnapshot engine : engines) {
+      LayerRange range = engine.targetLayers().orElse(LayerRange.of(0, 1));
+      if (engine.targetLayers().isPresent() && range.from() <= layer && layer < range.to()) {
+        double tokens = MODEL.tokenLayerCapacity(engine.accelerator(), range.size()) / range.size();
         requests += tokens / (MODEL.usualPrompt() + MODEL.usualAnswer());
       }
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/CrashDetectorTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/quarantine/CrashDetectorTest.java
@@ -76,17 +76,17 @@
   }
 
   @Test
-void refusedConnectionAfterABrokenOneProvesACrash(){
-detector.recordLoss(endpoint,RequestStart.of(CONTENT),SHORT_RUN_TIME);
-fleet.recordConnectionRefused(endpoint);
-assertCrashAttributed();
+  void refusedConnectionAfterABrokenOneProvesACrash() {
+    detector.recordLoss(endpoint, RequestStart.of(CONTENT), SHORT_RUN_TIME);
+    fleet.recordConnectionRefused(endpoint);
+    assertCrashAttributed();
   }
 
   @Test
-void requestLostAfterTheCrashIsKnownIsSuspectedToo(){
-fleet.recordConnectionRefused(endpoint);
-detector.recordLoss(endpoint,RequestStart.of(CONTENT),SHORT_RUN_TIME);
-assertCrashAttributed();
+  void requestLostAfterTheCrashIsKnownIsSuspectedToo() {
+    fleet.recordConnectionRefused(endpoint);
+    detector.recordLoss(endpoint, RequestStart.of(CONTENT), SHORT_RUN_TIME);
+    assertCrashAttributed();
   }
 
   @Test
@@ -113,28 +113,29 @@
   }
 
   @Test
-void requestThatRanForLongerIsNotSuspected(){
-detector.recordLoss(endpoint,RequestStart.of(CONTENT),CrashDetector.MAX_REQUEST_AGE.plusMillis(1));
-fleet.recordConnectionRefused(endpoint);
-assertEquals(List.of(),crashes);
+  void requestThatRanForLongerIsNotSuspected() {
+    detector.recordLoss(
+        endpoint, RequestStart.of(CONTENT), CrashDetector.MAX_REQUEST_AGE.plusMillis(1));
+    fleet.recordConnectionRefused(endpoint);
+    assertEquals(List.of(), crashes);
   }
 
   @Test
   void refusedConnectionLongAfterABrokenOneProvesNoCrash() {
     detector.recordLoss(endpoint, RequestStart.of(CONTENT), SHORT_RUN_TIME);
     clock.advance(Duration.ofSeconds(8));
-fleet.recordConnectionRefused(endpoint);
-assertEquals(List.of(),crashes);
+    fleet.recordConnectionRefused(endpoint);
+    assertEquals(List.of(), crashes);
   }
 
   @Test
   void endpointThatAnswersAgainMayCrashAgain() {
     fleet.suspect(endpoint, "test");
-fleet.recordConnectionRefused(endpoint);
-fleet.clearSuspicion(endpoint);
-detector.recordLoss(endpoint,RequestStart.of(CONTENT),SHORT_RUN_TIME);
-assertEquals(List.of(),crashes);
-fleet.recordConnectionRefused(endpoint);
-assertCrashAttributed();
+    fleet.recordConnectionRefused(endpoint);
+    fleet.clearSuspicion(endpoint);
+    detector.recordLoss(endpoint, RequestStart.of(CONTENT), SHORT_RUN_TIME);
+    assertEquals(List.of(), crashes);
+    fleet.recordConnectionRefused(endpoint);
+    assertCrashAttributed();
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/relay/PathPlannerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/relay/PathPlannerTest.java
@@ -133,7 +133,7 @@
       fast.reserve(1000 * 36.0);
     }
     // Seven other nodes send as much load each.
-fast.setPeerLoad(28,28*1000*36.0,1);
+    fast.setPeerLoad(28, 28 * 1000 * 36.0, 1);
     assertEquals(slow, plan().get().first());
   }
 
@@ -224,10 +224,10 @@
     AcceleratorProfile accelerator =
         Models.eightyLayers().accelerator(engine.endpoint().accelerator()).get();
     int held = engine.endpoint().layers().get().size();
-double capacity=Models.eightyLayers().tokenLayerCapacity(accelerator,held);
-double needed=engine.totalTokenLayers()+1000.0*part.layers().size();
+    double capacity = Models.eightyLayers().tokenLayerCapacity(accelerator, held);
+    double needed = engine.totalTokenLayers() + 1000.0 * part.layers().size();
     // An engine whose configured memory is too small for its own layers refuses requests itself.
-assertTrue(capacity<=0||needed<=capacity,part+" needs "+needed+" of "+capacity);
+    assertTrue(capacity <= 0 || needed <= capacity, part + " needs " + needed + " of " + capacity);
   }
 
   /**
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EndpointConnectionsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EndpointConnectionsTest.java
@@ -25,7 +25,6 @@
 import org.junit.jupiter.api.Test;
 import org.vaneworks.coordination.fleet.ConnectionRefusedException;
 import org.vaneworks.coordination.fleet.FleetEndpoint;
-import org.vaneworks.coordination.fleet.NobodyListensException;
 import org.vaneworks.coordination.forwarding.Attempt;
 import org.vaneworks.coordination.forwarding.EndpointTransport.EndpointCall;
 import org.vaneworks.coordination.forwarding.EndpointTransport.Listener;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/ConfigurationReplicator.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/ConfigurationReplicator.java
@@ -39,13 +39,13 @@
   private static final int PAGES_PER_MESSAGE = 32;
 
   private final Executor executor;
-private final ActiveConfiguration configuration;
+  private final ActiveConfiguration configuration;
   private final PeerLink link;
 
   @GuardedBy("this")
   private long fetchingVersion;
 
-ConfigurationReplicator(Executor executor,ActiveConfiguration configuration,PeerLink link){
+  ConfigurationReplicator(Executor executor, ActiveConfiguration configuration, PeerLink link) {
     this.executor = checkNotNull(executor);
     this.configuration = checkNotNull(configuration);
     this.link = checkNotNull(link);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/Lifecycle.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/Lifecycle.java
@@ -66,7 +66,8 @@
     }
     if (phase == Phase.REFUSING) {
       return Optional.of(
-Refusal.nothingSent(Reason.STOPPING,"ask again; the balancer knows other nodes").withRetryAfter(STOPPING_RETRY_AFTER));
+          Refusal.nothingSent(Reason.STOPPING, "ask again; the balancer knows other nodes")
+              .withRetryAfter(STOPPING_RETRY_AFTER));
     }
     inFlight++;
     return Optional.empty();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/Node.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/Node.java
@@ -49,7 +49,7 @@
   private final NodeDependencies dependencies;
   private final Lifecycle lifecycle = Lifecycle.create();
   private final Membership membership;
-private final ActiveConfiguration configuration;
+  private final ActiveConfiguration configuration;
   private final ConfigurationFollower follower;
   private final ConfigurationReplicator replicator;
   private final EndpointTable table;
@@ -61,16 +61,24 @@
     this.dependencies = dependencies;
     PlatformStore store =
         BudgetedStore.of(
-dependencies.store(),dependencies.executor(),dependencies.counters(),settings.limits().store());
-this.configuration=ActiveConfiguration.create(dependencies.executor(),dependencies.configurationFormat(),PageSource.of(store));
+            dependencies.store(),
+            dependencies.executor(),
+            dependencies.counters(),
+            settings.limits().store());
+    this.configuration =
+        ActiveConfiguration.create(
+            dependencies.executor(), dependencies.configurationFormat(), PageSource.of(store));
     this.membership = createMembership();
     MemberTable members = membership.table();
     this.follower =
         ConfigurationFollower.create(
             dependencies.executor(),
             store,
-configuration,()->members.isAssignedHere("head",HEAD_WATCHERS),dependencies.random());
-this.replicator=new ConfigurationReplicator(dependencies.executor(),configuration,dependencies.peers());
+            configuration,
+            () -> members.isAssignedHere("head", HEAD_WATCHERS),
+            dependencies.random());
+    this.replicator =
+        new ConfigurationReplicator(dependencies.executor(), configuration, dependencies.peers());
     this.table =
         EndpointTable.create(
             dependencies.executor(),
@@ -83,8 +91,10 @@
             dependencies.boxes(),
             dependencies.endpoints(),
             table,
-dependencies.random(),()->members.isAssignedHere("boxes",BOX_LIST_READERS),this::updateSeeds);
-RequestWiring wiring=new RequestWiring(settings,dependencies,table,members::size);
+            dependencies.random(),
+            () -> members.isAssignedHere("boxes", BOX_LIST_READERS),
+            this::updateSeeds);
+    RequestWiring wiring = new RequestWiring(settings, dependencies, table, members::size);
     RoutePlanner planner = wiring.planner();
     AdmissionControl admission = wiring.admission(planner);
     this.dispatcher =
@@ -117,13 +127,13 @@
   private void registerListeners(AdmissionControl admission) {
     configuration.onChange(
         snapshot -> {
-advanceToReady();
-membership.gossipNow();
+          advanceToReady();
+          membership.gossipNow();
         });
     membership.onNewerVersion(replicator::fetch);
     membership.onLeaving(
-hint->table.find(hint.endpoint()).ifPresent(state->table.markLeaving(state,"a peer")));
-table.onLeaving(state->membership.announceLeaving(new EndpointHint(state.endpoint().id())));
+        hint -> table.find(hint.endpoint()).ifPresent(state -> table.markLeaving(state, "a peer")));
+    table.onLeaving(state -> membership.announceLeaving(new EndpointHint(state.endpoint().id())));
     monitor.onUsable(admission::recheck);
   }
 
@@ -141,8 +151,8 @@
     }
   }
 
-private void updateSeeds(ImmutableList<Box>boxes){
-membership.updateSeeds(
+  private void updateSeeds(ImmutableList<Box> boxes) {
+    membership.updateSeeds(
         boxes.stream()
             .filter(box -> box.role() == Box.Role.ENTRY && !box.leaving())
             .map(Box::address)
@@ -190,11 +200,18 @@
     CompletableFuture<Void> gracefulStop =
         Async.delay(dependencies.executor(), times.balancerLag())
             .thenCompose(lagOver -> refuseAndDrain())
-.thenCompose(drained->dispatcher.once().handOver()).thenAccept(membership::announceLeft);
-CompletableFuture<Void>completedOrTimedOut=new CompletableFuture<>();
-var timer=dependencies.executor().schedule(()->completedOrTimedOut.complete(null),times.deadline());
-Async.onDone(gracefulStop,dependencies.executor(),(done,failure)->completedOrTimedOut.complete(null));
-return completedOrTimedOut.thenApply(
+            .thenCompose(drained -> dispatcher.once().handOver())
+            .thenAccept(membership::announceLeft);
+    CompletableFuture<Void> completedOrTimedOut = new CompletableFuture<>();
+    var timer =
+        dependencies
+            .executor()
+            .schedule(() -> completedOrTimedOut.complete(null), times.deadline());
+    Async.onDone(
+        gracefulStop,
+        dependencies.executor(),
+        (done, failure) -> completedOrTimedOut.complete(null));
+    return completedOrTimedOut.thenApply(
         done -> {
           timer.cancel();
           return finishStop();
@@ -236,8 +253,8 @@
   }
 
   /** Returns the holder of the active configuration. */
-public ActiveConfiguration configuration(){
-return configuration;
+  public ActiveConfiguration configuration() {
+    return configuration;
   }
 
   /** Returns the known endpoints. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/OnceService.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/OnceService.java
@@ -182,10 +182,10 @@
    */
   private CompletableFuture<OnceOutcome> refuseUnclaimed(OnceRequest request, Throwable failure) {
     counters.count(Metric.CLAIMS, "unavailable");
-Refusal refusal=RefusalException.refusalOf(failure);
-Refusal nothingRan=Refusal.nothingSent(refusal.reason(),refusal.detail());
-records.finish(request.recordId(),new OnceOutcome.Refused(nothingRan));
-return refused(refusal.withoutProof());
+    Refusal refusal = RefusalException.refusalOf(failure);
+    Refusal nothingRan = Refusal.nothingSent(refusal.reason(), refusal.detail());
+    records.finish(request.recordId(), new OnceOutcome.Refused(nothingRan));
+    return refused(refusal.withoutProof());
   }
 
   private CompletableFuture<OnceOutcome> followClaim(
--- a/vaneworks/src/main/java/org/vaneworks/coordination/RequestDispatcher.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/RequestDispatcher.java
@@ -38,7 +38,7 @@
  */
 public final class RequestDispatcher {
   private final Lifecycle lifecycle;
-private final ActiveConfiguration configuration;
+  private final ActiveConfiguration configuration;
   private final PipelineDriver driver;
   private final ServiceRouter services;
   private final Counters counters;
@@ -46,7 +46,7 @@
 
   RequestDispatcher(
       Lifecycle lifecycle,
-ActiveConfiguration configuration,
+      ActiveConfiguration configuration,
       PipelineDriver driver,
       ServiceRouter services,
       Counters counters,
@@ -271,9 +271,10 @@
       ServiceSpec spec =
           planOf(workspace)
               .service(service)
-.orElseThrow(()->Refusal.nothingSent(Reason.UNKNOWN_SERVICE,service).toException());
-boolean repeatableByRule=spec.repeatable(call.method(),call.path());
-boolean repeatable=repeatableByRule&&options.repeatable().orElse(true);
+              .orElseThrow(
+                  () -> Refusal.nothingSent(Reason.UNKNOWN_SERVICE, service).toException());
+      boolean repeatableByRule = spec.repeatable(call.method(), call.path());
+      boolean repeatable = repeatableByRule && options.repeatable().orElse(true);
       return services.call(service, call, repeatable, options.deadline());
     } catch (RefusalException e) {
       return CompletableFuture.failedFuture(e);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/RequestWiring.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/RequestWiring.java
@@ -59,7 +59,7 @@
 
   RequestDispatcher dispatcher(
       Lifecycle lifecycle,
-ActiveConfiguration configuration,
+      ActiveConfiguration configuration,
       RoutePlanner planner,
       AdmissionControl admission,
       PlatformStore store,
--- a/vaneworks/src/main/java/org/vaneworks/coordination/ServiceRouter.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/ServiceRouter.java
@@ -85,7 +85,8 @@
     RefusalException timeoutException =
         Refusal.mayHaveRun(Reason.DEADLINE, "service " + service + " did not answer in " + timeout)
             .toException();
-return Async.withTimeout(executor,timeout,attempt(service,call,repeatable,new HashSet<>()),timeoutException);
+    return Async.withTimeout(
+        executor, timeout, attempt(service, call, repeatable, new HashSet<>()), timeoutException);
   }
 
   private CompletableFuture<ServiceReply> attempt(
--- a/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionControl.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionControl.java
@@ -233,8 +233,8 @@
   }
 
   @GuardedBy("this")
-private Refusal latencyRefusal(int ahead,String detail){
-return Refusal.nothingSent(Reason.LATENCY_BOUND,detail).withRetryAfter(retryAfter(ahead));
+  private Refusal latencyRefusal(int ahead, String detail) {
+    return Refusal.nothingSent(Reason.LATENCY_BOUND, detail).withRetryAfter(retryAfter(ahead));
   }
 
   @GuardedBy("this")
--- a/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionPolicy.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/admission/AdmissionPolicy.java
@@ -37,9 +37,9 @@
       double firstTokenMillis = waited.toNanos() / 1e6;
       boolean idle = true;
       for (EndpointState engine : route.engines()) {
-int inFlight=engine.inFlight();
-int cap=engine.hasLearnedStepTimes()?limits.maxStreams():limits.streamsWhileUnknown();
-if(inFlight>=cap){
+        int inFlight = engine.inFlight();
+        int cap = engine.hasLearnedStepTimes() ? limits.maxStreams() : limits.streamsWhileUnknown();
+        if (inFlight >= cap) {
           return false;
         }
         double running = engine.estimatedRunning();
--- a/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationEditor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/configuration/ConfigurationEditor.java
@@ -257,10 +257,11 @@
                 : afterFailure(attempt.next(), loadFailure));
   }
 
-private CompletableFuture<ConfigurationHead>resolve(SwapAttempt attempt,StoredConfiguration current,Optional<StoreException>failure){
-ConfigurationChange change=attempt.change();
-if(current.head().historyContains(change.changeId())){
-return CompletableFuture.completedFuture(current.head());
+  private CompletableFuture<ConfigurationHead> resolve(
+      SwapAttempt attempt, StoredConfiguration current, Optional<StoreException> failure) {
+    ConfigurationChange change = attempt.change();
+    if (current.head().historyContains(change.changeId())) {
+      return CompletableFuture.completedFuture(current.head());
     }
     boolean headChanged = current.revision() != attempt.base().revision();
     ImmutableSet<ResourceKey> conflicting = changedSince(attempt.original(), current, change);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointMonitor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointMonitor.java
@@ -133,7 +133,7 @@
     }
     RuntimeException timeout = StoreException.withoutEffect("the box list did not answer in time");
     Async.onDone(
-Async.withTimeout(executor,LIST_TIMEOUT,list.boxes(),timeout),
+        Async.withTimeout(executor, LIST_TIMEOUT, list.boxes(), timeout),
         executor,
         (boxes, failure) -> {
           if (failure == null) {
@@ -207,7 +207,7 @@
     RuntimeException timeout =
         StoreException.withoutEffect("the endpoint did not answer the status call in time");
     Async.onDone(
-Async.withTimeout(executor,STATUS_TIMEOUT,client.status(watched.box.address()),timeout),
+        Async.withTimeout(executor, STATUS_TIMEOUT, client.status(watched.box.address()), timeout),
         executor,
         (status, failure) -> {
           if (failure == null) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointBackoffs.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointBackoffs.java
@@ -31,17 +31,16 @@
    * @param backoff the backoff of the incarnation that answered, even if that incarnation is no
    *     longer listed
    */
-void recordAnswer(FleetEndpoint endpoint,Backoff backoff,RequestedBackoff requested){
-if(requested.isUnreadable()){
+  void recordAnswer(FleetEndpoint endpoint, Backoff backoff, RequestedBackoff requested) {
+    if (requested.isUnreadable()) {
       counters.count(Metric.ENDPOINT_BACKOFFS, "unreadable");
       EventLog.warn(Event.ENDPOINT_BACKOFF_UNREADABLE, "endpoint", endpoint.id());
-}
-else if(requested.isRequested()){
-apply(endpoint,backoff,requested);
+    } else if (requested.isRequested()) {
+      apply(endpoint, backoff, requested);
     }
   }
 
-private void apply(FleetEndpoint endpoint,Backoff backoff,RequestedBackoff requested){
+  private void apply(FleetEndpoint endpoint, Backoff backoff, RequestedBackoff requested) {
     counters.count(Metric.ENDPOINT_BACKOFFS, "asked");
     if (!backoff.isInForce(now())) {
       EventLog.info(
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointRateLimit.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointRateLimit.java
@@ -13,8 +13,8 @@
 public final class EndpointRateLimit {
   private static final double NANOS_PER_SECOND = 1e9;
 
-private AdvertisedRateLimit limit=AdvertisedRateLimit.none();
-private long receivedAt=Long.MIN_VALUE/2;
+  private AdvertisedRateLimit limit = AdvertisedRateLimit.none();
+  private long receivedAt = Long.MIN_VALUE / 2;
   private long changedAt = Long.MIN_VALUE / 2;
   private long receivedFirstHandAt = Long.MIN_VALUE / 2;
   private double share;
@@ -24,8 +24,8 @@
   EndpointRateLimit() {}
 
   /** Returns the limit that the endpoint last announced, to this node or to a peer. */
-public AdvertisedRateLimit limit(){
-return limit;
+  public AdvertisedRateLimit limit() {
+    return limit;
   }
 
   /** Returns whether the endpoint limits the request rate. */
@@ -51,9 +51,9 @@
     return receivedFirstHandAt;
   }
 
-void update(AdvertisedRateLimit newest,long newestReceivedAt){
-if(newest.isLimited()!=limit.isLimited()){
-requestsSinceChange=0;
+  void update(AdvertisedRateLimit newest, long newestReceivedAt) {
+    if (newest.isLimited() != limit.isLimited()) {
+      requestsSinceChange = 0;
       share = 0;
       changedAt = newestReceivedAt;
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointRateLimits.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointRateLimits.java
@@ -45,13 +45,12 @@
   }
 
   /** Processes the limit that an endpoint's answer to this node announces. */
-public void recordFromEndpoint(TrackedEndpoint endpoint,AdvertisedRateLimit limit){
-if(limit.isUnreadable()){
-recordUnreadable(endpoint);
-}
-else if(limit.isLimited()||known.contains(endpoint)){
-endpoint.rateLimit().recordFirstHand(now());
-apply(endpoint,limit,now(),"endpoint");
+  public void recordFromEndpoint(TrackedEndpoint endpoint, AdvertisedRateLimit limit) {
+    if (limit.isUnreadable()) {
+      recordUnreadable(endpoint);
+    } else if (limit.isLimited() || known.contains(endpoint)) {
+      endpoint.rateLimit().recordFirstHand(now());
+      apply(endpoint, limit, now(), "endpoint");
     }
   }
 
@@ -67,21 +66,22 @@
    *
    * @param receivedAt when the peer received the limit, in nanoseconds on this node's clock
    */
-public void recordFromPeer(TrackedEndpoint endpoint,AdvertisedRateLimit limit,long receivedAt){
-if(receivedAt>endpoint.rateLimit().receivedAt()){
-apply(endpoint,limit,receivedAt,"peer");
+  public void recordFromPeer(TrackedEndpoint endpoint, AdvertisedRateLimit limit, long receivedAt) {
+    if (receivedAt > endpoint.rateLimit().receivedAt()) {
+      apply(endpoint, limit, receivedAt, "peer");
     }
   }
 
-private void apply(TrackedEndpoint endpoint,AdvertisedRateLimit limit,long receivedAt,String source){
-log(endpoint,limit,source);
-endpoint.rateLimit().update(limit,receivedAt);
+  private void apply(
+      TrackedEndpoint endpoint, AdvertisedRateLimit limit, long receivedAt, String source) {
+    log(endpoint, limit, source);
+    endpoint.rateLimit().update(limit, receivedAt);
     known.add(endpoint);
   }
 
-private void log(TrackedEndpoint endpoint,AdvertisedRateLimit limit,String source){
-EndpointRateLimit current=endpoint.rateLimit();
-if(current.limit().isLimited()==limit.isLimited()){
+  private void log(TrackedEndpoint endpoint, AdvertisedRateLimit limit, String source) {
+    EndpointRateLimit current = endpoint.rateLimit();
+    if (current.limit().isLimited() == limit.isLimited()) {
       return;
     }
     counters.count(Metric.ENDPOINT_LIMITS, limit.isLimited() ? "named" : "over");
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointSignals.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointSignals.java
@@ -86,21 +86,22 @@
   }
 
   /** Processes the signals on an endpoint's answer to a request. */
-public void recordAnswer(TrackedEndpoint endpoint,EndpointSignal received){
+  public void recordAnswer(TrackedEndpoint endpoint, EndpointSignal received) {
     // If the entry lapsed and reappeared in the meantime, the table has another object for it.
-rateLimits.recordFromEndpoint(listed.apply(endpoint.endpoint()).orElse(endpoint),received.limit());
-apply(endpoint.endpoint(),endpoint.signals(),received);
+    rateLimits.recordFromEndpoint(
+        listed.apply(endpoint.endpoint()).orElse(endpoint), received.limit());
+    apply(endpoint.endpoint(), endpoint.signals(), received);
   }
 
   /** Processes the signals on an engine's answer to a report request or an order. */
-public void recordCallAnswer(FleetEndpoint engine,EndpointSignal received){
-apply(engine,of(engine),received);
+  public void recordCallAnswer(FleetEndpoint engine, EndpointSignal received) {
+    apply(engine, of(engine), received);
   }
 
-private void apply(FleetEndpoint endpoint,IncarnationSignals recorded,EndpointSignal received){
-backoffs.recordAnswer(endpoint,recorded.backoff(),received.backoff());
-if(received.leaving()&&!recorded.isLeaving()){
-recorded.markLeaving();
+  private void apply(FleetEndpoint endpoint, IncarnationSignals recorded, EndpointSignal received) {
+    backoffs.recordAnswer(endpoint, recorded.backoff(), received.backoff());
+    if (received.leaving() && !recorded.isLeaving()) {
+      recorded.markLeaving();
       listed.apply(endpoint).ifPresent(onLeaving);
     }
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/HealthChecker.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/HealthChecker.java
@@ -175,13 +175,12 @@
     if (failure instanceof BackoffRequestedException) {
       return;
     }
-boolean refused=failure instanceof ConnectionRefusedException;
-if(timedOut&&EventLoopDelay.explainsSilence(elapsed.minus(timeout),probe.uncounted())){
-fleet.signals().recordDisregardedTimeout();
-probe(probe.nextUncounted());
-}
-else if(!refused&&probe.counted()<UNANSWERED_PROBES_TO_SUSPECT){
-probe(probe.next());
+    boolean refused = failure instanceof ConnectionRefusedException;
+    if (timedOut && EventLoopDelay.explainsSilence(elapsed.minus(timeout), probe.uncounted())) {
+      fleet.signals().recordDisregardedTimeout();
+      probe(probe.nextUncounted());
+    } else if (!refused && probe.counted() < UNANSWERED_PROBES_TO_SUSPECT) {
+      probe(probe.next());
     } else {
       String probes = "sent " + probe.number() + " probes, the last " + elapsed.toMillis();
       fleet.suspect(engine, "no answer to health checks: " + probes + " ms ago: " + failure);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
@@ -82,8 +82,8 @@
     return target.isPresent();
   }
 
-boolean uses(TrackedEndpoint engine){
-return path.isPresent()&&path.get().contains(engine);
+  boolean uses(TrackedEndpoint engine) {
+    return path.isPresent() && path.get().contains(engine);
   }
 
   /** Returns the suspected engines of the path, in path order. */
@@ -198,7 +198,7 @@
   }
 
   /** Returns when the endpoints of the service accept requests again, capacity aside. */
-RequestSchedule openings(){
+  RequestSchedule openings() {
     return model
         .map(profile -> context.fleet().requestSchedule(service, profile.layers()))
         .orElseGet(() -> context.fleet().requestSchedule(service));
@@ -221,7 +221,7 @@
     boolean misdirected = refused.status() == MISDIRECTED;
     Duration pause = misdirected ? MISDIRECTED_BACKOFF : OVERLOAD_BACKOFF;
     obstacle.avoidUntil(now() + pause.toNanos());
-if(misdirected&&obstacle.endpoint().incarnation().isKnown()){
+    if (misdirected && obstacle.endpoint().incarnation().isKnown()) {
       // The engine may have restarted without layers; its report shows that before the list does.
       context.health().check(obstacle);
     }
@@ -236,7 +236,7 @@
     next.reserve(size.tokens());
     next.parts().stream()
         .map(PathPart::engine)
-.filter(engine->!previous.contains(engine))
+        .filter(engine -> !previous.contains(engine))
         .forEach(this::noteLaterPart);
     path = Optional.of(next);
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
@@ -94,8 +94,9 @@
     this.request = request;
     this.response = response;
     this.onDone = onDone;
-this.service=route.selectService(context.random().nextDouble());
-this.selector=new EndpointSelector(
+    this.service = route.selectService(context.random().nextDouble());
+    this.selector =
+        new EndpointSelector(
             context,
             service,
             configuration.service(service).flatMap(ServiceProfile::model),
@@ -159,8 +160,8 @@
     }
 
     @Override
-public RequestSchedule openings(){
-return selector.openings();
+    public RequestSchedule openings() {
+      return selector.openings();
     }
 
     @Override
@@ -285,8 +286,8 @@
 
     @Override
     public void end() {
-if(isOrBecomesCurrent()){
-running.endpoint().recordSuccess();
+      if (isOrBecomesCurrent()) {
+        running.endpoint().recordSuccess();
         finish();
       }
     }
@@ -389,8 +390,8 @@
       noteLost(endpoint);
     }
     noteFailure(cause, endpoint);
-if(!selector.runsOnEngines()&&(endpoint.recordFailure()>1||neverSent)){
-endpoint.avoidUntil(now()+FAILED_REPLICA_PAUSE.toNanos());
+    if (!selector.runsOnEngines() && (endpoint.recordFailure() > 1 || neverSent)) {
+      endpoint.avoidUntil(now() + FAILED_REPLICA_PAUSE.toNanos());
     }
     attemptEnded(
         neverSent ? Verdict.NOT_RUN : Verdict.MAY_HAVE_RUN,
@@ -402,8 +403,8 @@
     if (cause instanceof ConnectionRefusedException) {
       context.fleet().recordConnectionRefused(endpoint);
     }
-if(selector.runsOnEngines()){
-context.health().checkAfterDisconnect(endpoint);
+    if (selector.runsOnEngines()) {
+      context.health().checkAfterDisconnect(endpoint);
     }
   }
 
@@ -494,8 +495,9 @@
     }
     Refusal refusal;
     if (runs == 0 && lastVerdict == Verdict.NOT_RUN) {
-Reason reason=denial==ResendDenial.NO_CAPACITY?Reason.NO_ENDPOINT:Reason.ENDPOINT_OVERLOADED;
-refusal=Refusal.nothingSent(reason,detail).withRetryAfter(retryAfter());
+      Reason reason =
+          denial == ResendDenial.NO_CAPACITY ? Reason.NO_ENDPOINT : Reason.ENDPOINT_OVERLOADED;
+      refusal = Refusal.nothingSent(reason, detail).withRetryAfter(retryAfter());
     } else {
       refusal = Refusal.mayHaveRun(Reason.ENDPOINT_LOST, detail);
     }
@@ -532,7 +534,8 @@
     close();
     Refusal refusal =
         runs == 0 && !mayRunNow
-?Refusal.nothingSent(Reason.NOT_STARTED_IN_TIME,"no place").withRetryAfter(retryAfter())
+            ? Refusal.nothingSent(Reason.NOT_STARTED_IN_TIME, "no place")
+                .withRetryAfter(retryAfter())
             : Refusal.mayHaveRun(Reason.DEADLINE, "the time limit passed");
     refuse(refusal);
   }
@@ -569,9 +572,9 @@
     if (!uses(engine)) {
       return;
     }
-boolean delivers=headSent&&progress.hasRecentProgress();
-if(engine.processDown()||!delivers){
-bypass(engine);
+    boolean delivers = headSent && progress.hasRecentProgress();
+    if (engine.processDown() || !delivers) {
+      bypass(engine);
     }
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
@@ -75,11 +75,17 @@
                     .forEach(forwarded -> forwarded.engineRecovered(engine)));
     context
         .fleet()
-.onIncarnationEnd(endpoint->ImmutableList.copyOf(inFlight).forEach(forwarded->forwarded.endpointEnded(endpoint)));
-context.fleet().onLeaving(this::migrateFrom);
+        .onIncarnationEnd(
+            endpoint ->
+                ImmutableList.copyOf(inFlight)
+                    .forEach(forwarded -> forwarded.endpointEnded(endpoint)));
+    context.fleet().onLeaving(this::migrateFrom);
     context
         .quarantine()
-.onQuarantined(content->ImmutableList.copyOf(inFlight).forEach(forwarded->forwarded.quarantined(content)));
+        .onQuarantined(
+            content ->
+                ImmutableList.copyOf(inFlight)
+                    .forEach(forwarded -> forwarded.quarantined(content)));
   }
 
   /**
@@ -217,8 +223,9 @@
     stopping = true;
   }
 
-private CallerResponse.Listener refuse(CallerRequest request,CallerResponse response,Reason reason,String detail){
-Refusal refusal=Refusal.nothingSent(reason,detail);
+  private CallerResponse.Listener refuse(
+      CallerRequest request, CallerResponse response, Reason reason, String detail) {
+    Refusal refusal = Refusal.nothingSent(reason, detail);
     if (reason.status() == 503) {
       refusal = refusal.withRetryAfter(RETRY_AFTER);
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
@@ -91,9 +91,9 @@
       fail(AttemptFailure.PATH_LOST);
       return;
     }
-if(!context.fleet().signals().admits(selector.target(),CallPurpose.PATH_CHANGE)){
-ForwardLog.pathChanged(request,cause,"first engine refuses path changes for now","");
-failOverOrRetry();
+    if (!context.fleet().signals().admits(selector.target(), CallPurpose.PATH_CHANGE)) {
+      ForwardLog.pathChanged(request, cause, "first engine refuses path changes for now", "");
+      failOverOrRetry();
       return;
     }
     attemptsLeft--;
@@ -103,8 +103,8 @@
       retryLater();
       return;
     }
-String pathText=next.get().text();
-context.fleet().signals().recordCall(selector.target(),CallPurpose.PATH_CHANGE);
+    String pathText = next.get().text();
+    context.fleet().signals().recordCall(selector.target(), CallPurpose.PATH_CHANGE);
     Async.onDone(
         context.control().repath(selector.target().endpoint(), request.id(), pathText),
         context.clock(),
@@ -128,9 +128,9 @@
       fail(AttemptFailure.REQUEST_UNKNOWN);
     } else if (obstacle.isPresent()) {
       long now = context.clock().currentTime(NANOSECONDS);
-obstacle.get().avoidUntil(now+OBSTACLE_BACKOFF.toNanos());
-obstacle.get().recordShortage(now);
-requestPathChange(ImmutableList.of(lost,obstacle.get()));
+      obstacle.get().avoidUntil(now + OBSTACLE_BACKOFF.toNanos());
+      obstacle.get().recordShortage(now);
+      requestPathChange(ImmutableList.of(lost, obstacle.get()));
     } else {
       retryLater();
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
@@ -150,9 +150,9 @@
     if (selector.path().isEmpty()) {
       return;
     }
-boolean stalled=now()-lastProgress>=stallTimeout().toNanos();
-if(stalled&&EventLoopDelay.explainsSilence(delay,ignoredStalls)){
-ignoredStalls++;
+    boolean stalled = now() - lastProgress >= stallTimeout().toNanos();
+    if (stalled && EventLoopDelay.explainsSilence(delay, ignoredStalls)) {
+      ignoredStalls++;
       context.counters().count(Metric.UNCOUNTED_SILENCES, "look");
       checkAfter(EventLoopDelay.SOCKET_READ_GRACE.toNanos());
       return;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
@@ -39,13 +39,14 @@
   }
 
   /** Returns whether the request is quarantined and must not be sent. */
-boolean isQuarantined(){
-return!context.quarantine().isEmpty()&&context.quarantine().isQuarantined(content());
+  boolean isQuarantined() {
+    return !context.quarantine().isEmpty() && context.quarantine().isQuarantined(content());
   }
 
   /** Returns whether one more endpoint loss would quarantine the request. */
-boolean isOneLossShort(){
-return!context.quarantine().isEmpty()&&context.quarantine().isOneCrashFromQuarantine(content());
+  boolean isOneLossShort() {
+    return !context.quarantine().isEmpty()
+        && context.quarantine().isOneCrashFromQuarantine(content());
   }
 
   /** Notes that the request was sent, or continues over another path. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResponseHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResponseHead.java
@@ -22,7 +22,7 @@
   Optional<HostPort> obstacle();
 
   /** Returns the endpoint's statement about its own state. */
-EndpointSignal statement();
+  EndpointSignal statement();
 
   /** Returns whether the status is 2xx. */
   default boolean success() {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/load/ReportedRateLimit.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/load/ReportedRateLimit.java
@@ -12,10 +12,10 @@
  * @param limit the limit; unlimited if the endpoint withdrew an earlier limit
  * @param age time since the endpoint announced it
  */
-public record ReportedRateLimit(int endpointKey,AdvertisedRateLimit limit,Duration age){
+public record ReportedRateLimit(int endpointKey, AdvertisedRateLimit limit, Duration age) {
   /** Checks that the limit was readable and the age is not negative. */
-public ReportedRateLimit{
-checkArgument(!limit.isUnreadable(),"unreadable limit of endpoint %s",endpointKey);
+  public ReportedRateLimit {
+    checkArgument(!limit.isUnreadable(), "unreadable limit of endpoint %s", endpointKey);
     checkArgument(!age.isNegative(), "age must not be negative: %s", age);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/once/ClaimShard.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/once/ClaimShard.java
@@ -169,8 +169,8 @@
       return;
     }
     String text = format.encodeClaims(ImmutableList.copyOf(next.values()));
-if(text.length()>MAX_DOCUMENT_CHARACTERS){
-fail(batch,Refusal.nothingSent(Reason.RECORDS_FULL,key+" is full"));
+    if (text.length() > MAX_DOCUMENT_CHARACTERS) {
+      fail(batch, Refusal.nothingSent(Reason.RECORDS_FULL, key + " is full"));
       return;
     }
     Async.onDone(
--- a/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/StreamRun.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/pipeline/StreamRun.java
@@ -351,8 +351,8 @@
     current = null;
     combinedVerdict = Verdict.RAN;
     Hop hop = hops.get(attempt.index);
-hop.recordStep(step);
-hop.engine().recordStep(attempt.call,Duration.ofNanos(now()-attempt.sentAt));
+    hop.recordStep(step);
+    hop.engine().recordStep(attempt.call, Duration.ofNanos(now() - attempt.sentAt));
     if (step == 0) {
       hop.engine().recordCachedPrompt(query.prefixes());
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/placement/Coverage.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/placement/Coverage.java
@@ -68,11 +68,9 @@
     for (EngineSnapshot engine : engines) {
       LayerRange range = assigned.get(engine.id());
       if (range != null) {
-double tokens=model.tokenCapacity(engine.accelerator(),range.size());
-for(int layer=range.from();
-layer<Math.min(range.to(),capacity.length);
-layer++){
-capacity[layer]+=tokens;
+        double tokens = model.tokenCapacity(engine.accelerator(), range.size());
+        for (int layer = range.from(); layer < Math.min(range.to(), capacity.length); layer++) {
+          capacity[layer] += tokens;
         }
       }
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementController.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementController.java
@@ -235,9 +235,9 @@
     }
   }
 
-private void reconcileService(ServiceProfile service,ModelProfile model){
-ImmutableList<TrackedEndpoint>engines=fleet.listed(service.name());
-if(!isListSettled(engines)){
+  private void reconcileService(ServiceProfile service, ModelProfile model) {
+    ImmutableList<TrackedEndpoint> engines = fleet.listed(service.name());
+    if (!isListSettled(engines)) {
       return;
     }
     ImmutableMap.Builder<String, TrackedEndpoint> byId = ImmutableMap.builder();
@@ -277,8 +277,8 @@
       String key, PlanInput input, ImmutableMap<String, TrackedEndpoint> enginesById) {
     ImmutableMap<String, LayerRange> plan =
         PlacementPlanner.of(input.model())
-.plan(input.snapshots(),id->enginesById.get(id).totalRequests());
-plan.forEach((id,layers)->assign(enginesById.get(id),layers));
+            .plan(input.snapshots(), id -> enginesById.get(id).totalRequests());
+    plan.forEach((id, layers) -> assign(enginesById.get(id), layers));
     // Only an input that leads to no order is remembered: an order may be refused and must be
     // planned again.
     if (plan.isEmpty()) {
@@ -371,15 +371,15 @@
         });
   }
 
-private void sendOrder(TrackedEndpoint engine,Assignment assignment,EngineReport report){
-boolean sameRun=fleet.reconcileIncarnation(engine,report.incarnation());
-if(!sameRun||assignments.get(engine)!=assignment||currentFence.isEmpty()||stopped){
+  private void sendOrder(TrackedEndpoint engine, Assignment assignment, EngineReport report) {
+    boolean sameRun = fleet.reconcileIncarnation(engine, report.incarnation());
+    if (!sameRun || assignments.get(engine) != assignment || currentFence.isEmpty() || stopped) {
       // An order that was decided for an earlier incarnation is not sent to the next one.
-assignment.callPending=false;
+      assignment.callPending = false;
       return;
     }
-if(!fleet.signals().admits(engine,CallPurpose.PLACEMENT)){
-assignment.callPending=false;
+    if (!fleet.signals().admits(engine, CallPurpose.PLACEMENT)) {
+      assignment.callPending = false;
       return;
     }
     if (report.orderInProgress() || !report.layers().equals(engine.endpoint().layers())) {
@@ -388,7 +388,7 @@
       assignment.callPending = false;
       return;
     }
-OrderGuard guard=new OrderGuard(currentFence.getAsLong(),report.ordersStarted());
+    OrderGuard guard = new OrderGuard(currentFence.getAsLong(), report.ordersStarted());
     long orderedAt = now();
     assignment.sent = true;
     fleet.signals().recordCall(engine, CallPurpose.PLACEMENT);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementPlanner.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementPlanner.java
@@ -241,8 +241,8 @@
         continue;
       }
       int added = wider - range.size();
-double capacity=model.tokenCapacity(engine.accelerator(),wider)/added;
-if(capacity>bestCapacity){
+      double capacity = model.tokenCapacity(engine.accelerator(), wider) / added;
+      if (capacity > bestCapacity) {
         best = engine;
         bestCapacity = capacity;
       }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementScorer.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/placement/PlacementScorer.java
@@ -134,8 +134,8 @@
     return ImmutableList.sortedCopyOf(Comparator.comparingDouble(Holder::stepFactor), holders);
   }
 
-private Holder holder(int index,EngineSnapshot engine,LayerRange range){
-double tokens=model.tokenCapacity(engine.accelerator(),range.size());
+  private Holder holder(int index, EngineSnapshot engine, LayerRange range) {
+    double tokens = model.tokenCapacity(engine.accelerator(), range.size());
     return new Holder(
         index,
         engine.accelerator().stepFactor(),
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/CrashDetector.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/CrashDetector.java
@@ -42,9 +42,9 @@
 
   private CrashDetector(Executor clock, Fleet fleet, Consumer<EndpointCrash> onCrash) {
     this.clock = checkNotNull(clock);
-this.onCrash=checkNotNull(onCrash);
-fleet.onProcessDown(this::processDown);
-fleet.onRemoval(this::endpointRemoved);
+    this.onCrash = checkNotNull(onCrash);
+    fleet.onProcessDown(this::processDown);
+    fleet.onRemoval(this::endpointRemoved);
   }
 
   /**
@@ -66,8 +66,8 @@
     if (ranFor.compareTo(MAX_REQUEST_AGE) > 0) {
       return;
     }
-if(endpoint.processDown()){
-reportCrash(endpoint,start);
+    if (endpoint.processDown()) {
+      reportCrash(endpoint, start);
     } else if (!endpoint.delisted()) {
       lostRequests
           .computeIfAbsent(endpoint, key -> new ArrayList<>())
@@ -93,9 +93,9 @@
         .forEach(request -> reportCrash(endpoint, request.start()));
   }
 
-private void reportCrash(TrackedEndpoint endpoint,RequestStart start){
-if(start.claimCrash()){
-onCrash.accept(new EndpointCrash(start.content(),endpoint.endpoint().incarnationId()));
+  private void reportCrash(TrackedEndpoint endpoint, RequestStart start) {
+    if (start.claimCrash()) {
+      onCrash.accept(new EndpointCrash(start.content(), endpoint.endpoint().incarnationId()));
     }
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/SharedQuarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/SharedQuarantine.java
@@ -275,8 +275,8 @@
   }
 
   @Override
-public void unavailable(StoreOutage silence){
-storeOutageAt=now();
+  public void unavailable(StoreOutage silence) {
+    storeOutageAt = now();
   }
 
   @Override
--- a/vaneworks/src/main/java/org/vaneworks/coordination/relay/PathPlanner.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/relay/PathPlanner.java
@@ -317,8 +317,8 @@
     double shortage = engine.shortage(query.nowNanos());
     double streams = engine.totalRequests() * shortage;
     int held = engine.endpoint().layers().get().size();
-double used=engine.totalTokenLayers()*shortage;
-double contextTokens=used/held;
+    double used = engine.totalTokenLayers() * shortage;
+    double contextTokens = used / held;
     double stepMillis =
         accelerator.stepFactor()
             * engine.pace()
@@ -343,7 +343,8 @@
     return new EngineCost(
         perLayer * noise,
         fixed * noise,
-model.tokenLayerCapacity(accelerator,held),used,
+        model.tokenLayerCapacity(accelerator, held),
+        used,
         size.tokens());
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/NodeLease.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/NodeLease.java
@@ -336,8 +336,8 @@
     boolean wasController = fence.isPresent();
     fence = OptionalLong.of(createdAt.toLong());
     if (!wasController) {
-EventLog.info(Event.LEASE_WON,"fence",createdAt.toLong());
-controllerListeners.forEach(Runnable::run);
+      EventLog.info(Event.LEASE_WON, "fence", createdAt.toLong());
+      controllerListeners.forEach(Runnable::run);
     }
   }
 
@@ -433,9 +433,9 @@
     }
   }
 
-private void handleControllerChange(StoredItem item,boolean removed){
-if(fence.isPresent()&&item.changedAt().toLong()<fence.getAsLong()){
-return; // The change concerns an earlier controller.
+  private void handleControllerChange(StoredItem item, boolean removed) {
+    if (fence.isPresent() && item.changedAt().toLong() < fence.getAsLong()) {
+      return; // The change concerns an earlier controller.
     }
     controllerPresent = !removed;
     if (removed) {
--- a/vaneworks/src/main/java/org/vaneworks/protocol/LoadCodec.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/LoadCodec.java
@@ -78,7 +78,7 @@
       double pace = message.getSlowPaceHundredths(i) / HUNDREDTHS;
       slow.add(new EnginePace(message.getSlowKey(i), pace));
     }
-ImmutableList<ReportedRateLimit>limits=limits(message);
+    ImmutableList<ReportedRateLimit> limits = limits(message);
     // A report without a number of nodes covers one node.
     int nodes = Math.max(1, message.getNodes());
     return new LoadReport(
@@ -102,8 +102,8 @@
     int count = message.getLimitKeyCount();
     boolean sameLength =
         message.getLimitThousandthsCount() == count && message.getLimitAgeMillisCount() == count;
-checkArgument(sameLength,"the lists of limits differ in length");
-ImmutableList.Builder<ReportedRateLimit>limits=ImmutableList.builder();
+    checkArgument(sameLength, "the lists of limits differ in length");
+    ImmutableList.Builder<ReportedRateLimit> limits = ImmutableList.builder();
     for (int i = 0; i < count; i++) {
       int thousandths = message.getLimitThousandths(i);
       AdvertisedRateLimit limit =
@@ -111,7 +111,7 @@
               ? AdvertisedRateLimit.none()
               : AdvertisedRateLimit.of((double) thousandths / THOUSAND);
       Duration age = Duration.ofMillis(message.getLimitAgeMillis(i));
-limits.add(new ReportedRateLimit(message.getLimitKey(i),limit,age));
+      limits.add(new ReportedRateLimit(message.getLimitKey(i), limit, age));
     }
     return limits.build();
   }
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointAnswerHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointAnswerHead.java
@@ -20,7 +20,8 @@
     boolean notRun,
     boolean matches,
     Optional<HostPort> obstacle,
-EndpointSignal statement)implements ResponseHead{
+    EndpointSignal statement)
+    implements ResponseHead {
   @Override
   public int status() {
     return response.status().code();
