--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
@@ -81,7 +81,7 @@
   private final EndpointConnections connections;
   private final EntryAdapters adapters;
   private final Counters counters;
-  private final CallerConnections callerConnections = CallerConnections.none();
+  private final CallerConnections callerConnections = CallerConnections.create();
   private HttpServerContext callers;
   private HttpServerContext readiness;
   private Optional<HttpServerContext> metrics = Optional.empty();
@@ -180,7 +180,7 @@
   }
 
   private void forgetConnections(TrackedEndpoint endpoint) {
-    connections.forget(endpoint.address());
+    connections.closeConnections(endpoint.address());
     adapters.engines().forget(endpoint.address());
   }
 
@@ -383,7 +383,7 @@
 
   /** Returns requests under way, those included whose answers wait for callers that read slowly. */
   private int underWay() {
-    return Math.max(forwarder.inFlight(), callerConnections.answering());
+    return Math.max(forwarder.inFlight(), callerConnections.activeCount());
   }
 
   private void closeSockets(CompletableFuture<Integer> stopped) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/CallerClosesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/CallerClosesTest.java
@@ -110,7 +110,7 @@
       taken = beginAnswer(caller);
     }
     taken.awaitGone();
-    node.onLoop(() -> assertEquals(0, node.connections.answering()));
+    node.onLoop(() -> assertEquals(0, node.connections.activeCount()));
   }
 
   // Guards against cuts by the node being taken for callers who left.
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/CallerConnectionTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/CallerConnectionTest.java
@@ -27,7 +27,7 @@
 
   private final Counters counters = Counters.in(new SimpleMeterRegistry());
   private final EmbeddedChannel channel = new EmbeddedChannel(new ChannelInboundHandlerAdapter());
-  private final CallerConnections all = CallerConnections.none();
+  private final CallerConnections all = CallerConnections.create();
   private final Held answer = new Held();
   private EntryLimits limits = limits(IDLE_MILLIS);
   private CallerConnection connection;
@@ -236,17 +236,17 @@
   // Guards against a stop that takes an answer for delivered while bytes of it are held.
   @Test
   void answerIsUnderWayUntilNothingIsHeld() {
-    assertEquals(0, all.answering());
+    assertEquals(0, all.activeCount());
     connection.requestBegan(answer);
-    assertEquals(1, all.answering());
+    assertEquals(1, all.activeCount());
     answer.passedOn = false;
     connection.requestEnded(answer);
-    assertEquals(1, all.answering());
+    assertEquals(1, all.activeCount());
     answer.passedOn = true;
     holdBytes();
-    assertEquals(1, all.answering());
+    assertEquals(1, all.activeCount());
     channel.flush();
-    assertEquals(0, all.answering());
+    assertEquals(0, all.activeCount());
   }
 
   // Guards against a stop that waits for a caller who has left.
@@ -254,6 +254,6 @@
   void closedConnectionHasNoAnswerUnderWay() {
     connection.requestBegan(answer);
     closeFromWithin();
-    assertEquals(0, all.answering());
+    assertEquals(0, all.activeCount());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryFixture.java
@@ -73,7 +73,7 @@
   }
 
   final IoExecutor io = NettyIoExecutors.createIoExecutor(1, "test");
-  final CallerConnections connections = CallerConnections.none();
+  final CallerConnections connections = CallerConnections.create();
   final Counters counters = Counters.in(new SimpleMeterRegistry());
   private final BlockingQueue<Taken> taken = new LinkedBlockingQueue<>();
   private final HttpServerContext server;
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/ForgottenEndpointTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/ForgottenEndpointTest.java
@@ -89,7 +89,7 @@
   }
 
   private void forget() {
-    connections.forget(address());
+    connections.closeConnections(address());
   }
 
   private void onLoop(Runnable step) throws Exception {
@@ -169,16 +169,16 @@
     served.get(SECONDS, TimeUnit.SECONDS);
   }
 
-  private CompletableFuture<HttpSender.Answer> askAndForget() {
-    HttpSender sender = HttpSender.on(io);
-    CompletableFuture<HttpSender.Answer> answer =
+  private CompletableFuture<HttpSender.Response> askAndForget() {
+    HttpSender sender = HttpSender.onEventLoop(io);
+    CompletableFuture<HttpSender.Response> answer =
         sender.get(address(), "/report", Duration.ofSeconds(SECONDS));
-    sender.forget(address());
+    sender.closeConnections(address());
     return answer;
   }
 
   private static void complete(
-      CompletableFuture<String> answer, HttpSender.Answer got, Throwable failure) {
+      CompletableFuture<String> answer, HttpSender.Response got, Throwable failure) {
     answer.complete(failure == null ? got.body() : String.valueOf(failure));
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/PlainHeaders.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/PlainHeaders.java
@@ -21,7 +21,7 @@
   }
 
   @Override
-  public Optional<Duration> patience(HttpHeaders headers) {
+  public Optional<Duration> callerTimeout(HttpHeaders headers) {
     return Optional.empty();
   }
 
@@ -31,7 +31,7 @@
   }
 
   @Override
-  public void address(HttpHeaders headers, Attempt attempt) {}
+  public void rewriteForEndpoint(HttpHeaders headers, Attempt attempt) {}
 
   @Override
   public boolean notRun(int status, HttpHeaders headers) {
--- a/vaneworks/src/main/java/org/vaneworks/transport/HttpEndpointClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/HttpEndpointClient.java
@@ -22,7 +22,6 @@
 import org.vaneworks.state.NotRunProof;
 import org.vaneworks.state.Reason;
 import org.vaneworks.state.Refusal;
-import org.vaneworks.transport.HttpSender.Answer;
 
 /** Endpoints over HTTP. Thread-safe. */
 public final class HttpEndpointClient implements EndpointClient {
@@ -90,7 +89,7 @@
 
   @Override
   public void forget(HostPort address) {
-    sender.forget(address);
+    sender.closeConnections(address);
   }
 
   private static HttpRequestMethod.Properties methodProperties(String method) {
@@ -111,7 +110,7 @@
   }
 
   private static <T> CompletableFuture<T> parsed(
-      Answer answer, Throwable failure, Function<String, T> read) {
+      HttpSender.Response answer, Throwable failure, Function<String, T> read) {
     if (failure != null) {
       return CompletableFuture.failedFuture(lost(failure).toException());
     }
@@ -128,7 +127,8 @@
   }
 
   /** A service's own error answers are answers; only its word that it refused is a refusal. */
-  private static CompletableFuture<ServiceReply> serviceReply(Answer answer, Throwable failure) {
+  private static CompletableFuture<ServiceReply> serviceReply(
+      HttpSender.Response answer, Throwable failure) {
     if (failure != null) {
       return CompletableFuture.failedFuture(lost(failure).toException());
     }
@@ -141,12 +141,12 @@
 
   private static Refusal lost(Throwable failure) {
     String detail = String.valueOf(failure);
-    return SentState.neverSent(failure)
+    return SendFailures.neverSent(failure)
         ? Refusal.notRun(NotRunProof.NEVER_CONNECTED, Reason.ENDPOINT_LOST, detail)
         : Refusal.mayHaveRun(Reason.ENDPOINT_LOST, detail);
   }
 
-  private static Refusal refused(Answer answer) {
+  private static Refusal refused(HttpSender.Response answer) {
     String detail = "the endpoint answered " + answer.status() + " " + answer.refused();
     if (answer.refused().isEmpty()) {
       return Refusal.mayHaveRun(Reason.ENDPOINT_LOST, detail);
--- a/vaneworks/src/main/java/org/vaneworks/transport/HttpPlatformStore.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/HttpPlatformStore.java
@@ -14,7 +14,6 @@
 import org.vaneworks.coordination.store.StorePurpose;
 import org.vaneworks.protocol.PlatformJson;
 import org.vaneworks.state.HostPort;
-import org.vaneworks.transport.HttpSender.Answer;
 
 /** The platform's store over HTTP. Thread-safe. */
 public final class HttpPlatformStore implements PlatformStore {
@@ -61,7 +60,7 @@
   }
 
   private static CompletableFuture<Optional<StoreEntry>> entry(
-      Answer answer, Throwable failure, int statusOfNone) {
+      HttpSender.Response answer, Throwable failure, int statusOfNone) {
     if (failure != null) {
       return failed(StoreException.withoutEffect("the store did not answer: " + failure));
     }
@@ -82,11 +81,12 @@
         sender.post(address, PlatformJson.SWAP_PATH, body, CALL_LIMIT), HttpPlatformStore::swapped);
   }
 
-  private static CompletableFuture<Optional<Long>> swapped(Answer answer, Throwable failure) {
+  private static CompletableFuture<Optional<Long>> swapped(
+      HttpSender.Response answer, Throwable failure) {
     if (failure != null) {
       String message = "the store did not answer: " + failure;
       return failed(
-          SentState.neverSent(failure)
+          SendFailures.neverSent(failure)
               ? StoreException.withoutEffect(message)
               : StoreException.unknownEffect(message));
     }
--- a/vaneworks/src/main/java/org/vaneworks/transport/HttpSender.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/HttpSender.java
@@ -60,7 +60,7 @@
    *
    * @param io the event loop, its timers and clock
    */
-  public static HttpSender on(IoExecutor io) {
+  public static HttpSender onEventLoop(IoExecutor io) {
     return new HttpSender(io, Optional.of(io));
   }
 
@@ -70,7 +70,7 @@
    * @param refused the endpoint's refusal header, empty if absent
    * @param headers all of its headers
    */
-  public record Answer(
+  public record Response(
       int status, String body, String contentType, String refused, HttpHeaders headers) {
     /** Returns whether the status is one of success. */
     public boolean isSuccess() {
@@ -79,17 +79,18 @@
   }
 
   /** Sends a GET. */
-  public CompletableFuture<Answer> get(HostPort to, String target, Duration limit) {
+  public CompletableFuture<HttpSender.Response> get(HostPort to, String target, Duration limit) {
     return send(to, HttpRequestMethod.GET, target, "", limit);
   }
 
   /** Sends a POST with a JSON body. */
-  public CompletableFuture<Answer> post(HostPort to, String target, String body, Duration limit) {
+  public CompletableFuture<HttpSender.Response> post(
+      HostPort to, String target, String body, Duration limit) {
     return send(to, HttpRequestMethod.POST, target, body, limit);
   }
 
   /** Sends a request; a failed future carries what ServiceTalk said. */
-  public CompletableFuture<Answer> send(
+  public CompletableFuture<HttpSender.Response> send(
       HostPort to, HttpRequestMethod method, String target, String body, Duration limit) {
     CountedClient<HttpClient> counted = clients.computeIfAbsent(to, this::connect);
     HttpClient client = counted.callBegins();
@@ -108,10 +109,10 @@
         .toCompletableFuture();
   }
 
-  private static Answer answer(HttpResponse response) {
+  private static HttpSender.Response answer(HttpResponse response) {
     CharSequence type = response.headers().get(HttpHeaderNames.CONTENT_TYPE, JSON);
     CharSequence refused = response.headers().get(EngineJson.REFUSED_HEADER, "");
-    return new Answer(
+    return new HttpSender.Response(
         response.status().code(),
         response.payloadBody().toString(UTF_8),
         type.toString(),
@@ -136,7 +137,7 @@
   }
 
   /** Closes connections to an address that is no longer used, once their calls are done. */
-  public void forget(HostPort address) {
+  public void closeConnections(HostPort address) {
     CountedClient<HttpClient> client = clients.remove(address);
     if (client != null) {
       client.forget();
--- a/vaneworks/src/main/java/org/vaneworks/transport/NodeStatusClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/NodeStatusClient.java
@@ -28,6 +28,6 @@
    * @return the document of {@code /status}; fails if the node does not answer
    */
   public CompletableFuture<String> status(HostPort callers) {
-    return sender.get(callers, "/status", CALL_LIMIT).thenApply(HttpSender.Answer::body);
+    return sender.get(callers, "/status", CALL_LIMIT).thenApply(HttpSender.Response::body);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/transport/SentState.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/SendFailures.java
@@ -9,8 +9,8 @@
 import org.vaneworks.coordination.concurrent.Async;
 
 /** Tells from a failure whether any byte of its request left this node. */
-public final class SentState {
-  private SentState() {}
+public final class SendFailures {
+  private SendFailures() {}
 
   /** Returns whether the failure shows that no byte of the request was written. */
   public static boolean neverSent(Throwable failure) {
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/CallerConnections.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/CallerConnections.java
@@ -10,7 +10,7 @@
   private CallerConnections() {}
 
   /** Returns no connections. */
-  public static CallerConnections none() {
+  public static CallerConnections create() {
     return new CallerConnections();
   }
 
@@ -26,7 +26,7 @@
    * Returns how many have a request or an answer under way, answers included whose last bytes are
    * held for a caller that reads slowly.
    */
-  public int answering() {
+  public int activeCount() {
     return (int) open.stream().filter(CallerConnection::isAnswering).count();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointConnections.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointConnections.java
@@ -32,7 +32,7 @@
 import org.vaneworks.coordination.forwarding.EndpointCalls;
 import org.vaneworks.state.HostPort;
 import org.vaneworks.transport.CountedClient;
-import org.vaneworks.transport.SentState;
+import org.vaneworks.transport.SendFailures;
 import org.vaneworks.transport.SingleAddress;
 
 /**
@@ -62,7 +62,7 @@
   }
 
   /** Closes the connections to an endpoint that is gone, once their requests are done. */
-  public void forget(HostPort address) {
+  public void closeConnections(HostPort address) {
     CountedClient<StreamingHttpClient> client = clients.remove(address);
     if (client != null) {
       client.forget();
@@ -88,7 +88,7 @@
     HttpHeaders headers = request.headers();
     headers.set(head.headers());
     HopHeaders.remove(headers);
-    dialect.address(headers, attempt);
+    dialect.rewriteForEndpoint(headers, attempt);
     Buffer body = source.body();
     boolean hadBody =
         body.readableBytes() > 0 || head.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
@@ -225,9 +225,9 @@
     public void onError(Throwable cause) {
       over();
       if (!discarded && !cancelled) {
-        boolean refused = SentState.connectionRefused(cause);
+        boolean refused = SendFailures.connectionRefused(cause);
         Throwable told = refused ? new NobodyListensException(cause) : cause;
-        listener.failed(body == null && SentState.neverSent(cause), told);
+        listener.failed(body == null && SendFailures.neverSent(cause), told);
       }
     }
 
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryRequest.java
@@ -57,7 +57,7 @@
 
   @Override
   public Optional<Duration> patience() {
-    return dialect.patience(head.headers());
+    return dialect.callerTimeout(head.headers());
   }
 
   @Override
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/HeaderDialect.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/HeaderDialect.java
@@ -17,7 +17,7 @@
   Optional<String> key(HttpHeaders headers);
 
   /** Returns how long the caller waits. */
-  Optional<Duration> patience(HttpHeaders headers);
+  Optional<Duration> callerTimeout(HttpHeaders headers);
 
   /** Returns how large the request is expected to be. */
   Optional<RequestSize> size(HttpHeaders headers);
@@ -27,7 +27,7 @@
    *
    * @param headers a copy that is about to be sent
    */
-  void address(HttpHeaders headers, Attempt attempt);
+  void rewriteForEndpoint(HttpHeaders headers, Attempt attempt);
 
   /** Returns whether an answer states that the request was not run. */
   boolean notRun(int status, HttpHeaders headers);
