--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/HttpSenderTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/HttpSenderTest.java
@@ -17,20 +17,19 @@
 import org.vaneworks.state.HostPort;
 
 /**
- * Checks that a call reaches its server as soon as there is one.
+ * Tests that a call reaches its server as soon as the server accepts connections.
  *
- * <p>The incident behind it. Seen: nodes that had been cut off from the platform's store for ten
- * seconds saw it again 2 to 10 s after the way was open. How it came about: each of their calls
- * failed without a packet. Cause: after five failed connections the library's load balancer gives
- * its only address no more calls, and tries it again by a timer of its own, 5 s and up to 3 s more.
- * Proof: the last failure before the view came back was "failed to pick an active host".
+ * <p>Guards against ServiceTalk's load balancer ejecting a client's only address: after five failed
+ * connection attempts it fails calls with "failed to pick an active host", without sending a
+ * packet, and probes the address only after 5 to 8 s. Nodes that had been cut off from the
+ * platform's store for 10 s therefore reached it only 2 to 10 s after the network had recovered.
  */
 final class HttpSenderTest {
-  /** Beyond the failed connections after which the library's default gives an address up. */
+  /** More than the failed connections after which ServiceTalk ejects an address by default. */
   private static final int FAILED_CALLS = 12;
 
-  /** Generous: nothing is measured, a call on loopback is answered in a few ms. */
-  private static final Duration LIMIT = Duration.ofSeconds(20);
+  /** Only bounds a failing test; a call on loopback takes a few ms. */
+  private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
   private final Executor executor = Executors.newCachedThreadExecutor();
   private final HttpSender sender = HttpSender.create(executor);
@@ -42,14 +41,15 @@
   }
 
   @Test
-  void firstCallAfterManyFailedConnectionsReachesTheServer() throws Exception {
+  void firstCallAfterManyFailedConnectionsReachesServer() throws Exception {
     InetSocketAddress address;
     try (Socket reserved = new Socket()) {
-      // Bound but not listening: connections are refused and nobody else gets the port.
+      // Bound but not listening: connections are refused, and no other process gets the port.
       reserved.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       address = (InetSocketAddress) reserved.getLocalSocketAddress();
       for (int i = 0; i < FAILED_CALLS; i++) {
-        assertThrows(ExecutionException.class, () -> sender.get(at(address), "/", LIMIT).get());
+        assertThrows(
+            ExecutionException.class, () -> sender.get(hostPort(address), "/", TIMEOUT).get());
       }
     }
     HttpServer server = HttpServer.create(address, 0);
@@ -62,13 +62,13 @@
         });
     server.start();
     try {
-      assertEquals("ok", sender.get(at(address), "/", LIMIT).get().body());
+      assertEquals("ok", sender.get(hostPort(address), "/", TIMEOUT).get().body());
     } finally {
       server.stop(0);
     }
   }
 
-  private static HostPort at(InetSocketAddress address) {
+  private static HostPort hostPort(InetSocketAddress address) {
     return new HostPort(address.getHostString(), address.getPort());
   }
 }
--- /dev/null
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/CallerCloseReasonTest.java
@@ -0,0 +1,160 @@
+package org.vaneworks.transport.entry;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.net.Socket;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.vaneworks.telemetry.Metric;
+
+/** Tests over sockets that each close of a caller connection is counted under its reason. */
+final class CallerCloseReasonTest {
+  private static final long CHECK_MILLIS = 10;
+
+  /** Only bounds a failing test. */
+  private static final int MAX_CHECKS = 1000;
+
+  private EntryFixture server;
+
+  @BeforeEach
+  void start() throws Exception {
+    server = EntryFixture.start();
+  }
+
+  @AfterEach
+  void stop() throws Exception {
+    server.close();
+  }
+
+  private double closes(CloseReason reason) {
+    return server.counters.value(Metric.CALLER_CLOSES, reason.code());
+  }
+
+  private double totalCloses() {
+    double sum = 0;
+    for (CloseReason reason : CloseReason.values()) {
+      sum += closes(reason);
+    }
+    return sum;
+  }
+
+  private void assertCountedAs(CloseReason reason) throws Exception {
+    for (int i = 0; i < MAX_CHECKS && totalCloses() == 0; i++) {
+      Thread.sleep(CHECK_MILLIS);
+    }
+    for (CloseReason other : CloseReason.values()) {
+      assertEquals(other == reason ? 1 : 0, closes(other), other.code());
+    }
+  }
+
+  private EntryFixture.ReceivedRequest startResponse(Socket caller) throws Exception {
+    EntryFixture.sendRequest(caller);
+    EntryFixture.ReceivedRequest request = server.next();
+    server.runOnEventLoop(
+        () -> {
+          request.response.head(EntryFixture.responseHead());
+          request.response.data(new byte[1]);
+        });
+    return request;
+  }
+
+  private void sendResponse(EntryFixture.ReceivedRequest request) throws Exception {
+    server.runOnEventLoop(
+        () -> {
+          request.response.head(EntryFixture.responseHead());
+          request.response.end();
+        });
+  }
+
+  private static void readToEnd(Socket caller) throws Exception {
+    var unused = caller.getInputStream().readAllBytes();
+  }
+
+  // Guards against counting a caller's close as an abort by the node.
+  @Test
+  void closeByCallerDuringResponseIsCounted() throws Exception {
+    try (Socket caller = server.connect()) {
+      startResponse(caller);
+    }
+    assertCountedAs(CloseReason.DISCONNECTED_DURING_RESPONSE);
+  }
+
+  // Guards against counting a caller's reset as an abort by the node.
+  @Test
+  void resetByCallerDuringResponseIsCounted() throws Exception {
+    try (Socket caller = server.connect()) {
+      startResponse(caller);
+      caller.setSoLinger(true, 0);
+    }
+    assertCountedAs(CloseReason.DISCONNECTED_DURING_RESPONSE);
+  }
+
+  // Guards against counting a caller's close before the response head as an abort by the node.
+  @Test
+  void closeByCallerBeforeResponseHeadIsCounted() throws Exception {
+    EntryFixture.ReceivedRequest request;
+    try (Socket caller = server.connect()) {
+      EntryFixture.sendRequest(caller);
+      request = server.next();
+    }
+    assertCountedAs(CloseReason.DISCONNECTED_DURING_RESPONSE);
+    assertEquals(1, request.disconnects());
+  }
+
+  // Guards against a shutdown that waits for disconnected callers, whose responses never end.
+  @Test
+  void connectionOfDisconnectedCallerIsNotActive() throws Exception {
+    EntryFixture.ReceivedRequest request;
+    try (Socket caller = server.connect()) {
+      request = startResponse(caller);
+    }
+    request.awaitDisconnect();
+    server.runOnEventLoop(() -> assertEquals(0, server.connections.activeCount()));
+  }
+
+  // Guards against counting an abort by the node as a caller's close.
+  @Test
+  void abortOfResponseIsCounted() throws Exception {
+    try (Socket caller = server.connect()) {
+      EntryFixture.ReceivedRequest request = startResponse(caller);
+      server.runOnEventLoop(request.response::cut);
+      readToEnd(caller);
+    }
+    assertCountedAs(CloseReason.ABORTED);
+  }
+
+  // Guards against counting a close that was announced to the caller as an abort.
+  @Test
+  void closeAfterLastResponseIsCounted() throws Exception {
+    server.closeAfterResponses();
+    try (Socket caller = server.connect()) {
+      EntryFixture.sendRequest(caller);
+      sendResponse(server.next());
+      readToEnd(caller);
+    }
+    assertCountedAs(CloseReason.LAST_RESPONSE);
+  }
+
+  // Guards against counting a close that the caller requested as an abort.
+  @Test
+  void closeRequestedByCallerIsCounted() throws Exception {
+    try (Socket caller = server.connect()) {
+      EntryFixture.sendRequest(caller, "GET", "Connection: close\r\n");
+      sendResponse(server.next());
+      readToEnd(caller);
+    }
+    assertCountedAs(CloseReason.BETWEEN_RESPONSES);
+  }
+
+  // Guards against counting a caller's close between responses as an abort.
+  @Test
+  void closeByCallerBetweenResponsesIsCounted() throws Exception {
+    try (Socket caller = server.connect()) {
+      EntryFixture.sendRequest(caller);
+      sendResponse(server.next());
+      var unused = caller.getInputStream().read();
+    }
+    assertCountedAs(CloseReason.DISCONNECTED);
+  }
+}
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/CallerConnectionTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/CallerConnectionTest.java
@@ -18,37 +18,38 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * Checks when a caller's connection is closed and what is counted then, on a channel's own time.
+ * Tests when a caller connection is closed, and under which reason, with an embedded channel's
+ * simulated time.
  */
 final class CallerConnectionTest {
   private static final long IDLE_MILLIS = 12_000;
-  private static final long LOOK_MILLIS = 1000;
-  private static final long LOOK_AT_REST_MILLIS = 5000;
+  private static final long UNSENT_CHECK_MILLIS = 1000;
+  private static final long IDLE_CHECK_MILLIS = 5000;
 
   private final Counters counters = Counters.in(new SimpleMeterRegistry());
   private final EmbeddedChannel channel = new EmbeddedChannel(new ChannelInboundHandlerAdapter());
-  private final CallerConnections all = CallerConnections.create();
-  private final Held answer = new Held();
+  private final CallerConnections connections = CallerConnections.create();
+  private final FakeResponse response = new FakeResponse();
   private EntryLimits limits = limits(IDLE_MILLIS);
   private CallerConnection connection;
 
-  /** An answer of which a part may be held back. */
-  private static final class Held implements ConnectionAnswer {
-    private boolean passedOn = true;
-    private boolean gone;
+  /** A response whose state is set by the test. */
+  private static final class FakeResponse implements PendingResponse {
+    private boolean terminated = true;
+    private boolean disconnected;
 
     @Override
-    public void callerGone() {
-      gone = true;
+    public void callerDisconnected() {
+      disconnected = true;
     }
 
     @Override
-    public boolean isPassedOn() {
-      return passedOn;
+    public boolean isTerminated() {
+      return terminated;
     }
 
     @Override
-    public long heldBytes() {
+    public long bufferedBytes() {
       return 0;
     }
   }
@@ -60,12 +61,12 @@
   @BeforeEach
   void accept() {
     channel.freezeTime();
-    CallerConnection.install(channel, () -> limits, counters, all);
+    CallerConnection.install(channel, () -> limits, counters, connections);
     connection = CallerConnection.of(channel);
   }
 
-  /** Lets time pass in small steps, as timers set further timers. */
-  private void pass(long millis) {
+  /** Advances the time in small steps, because timers schedule further timers. */
+  private void advanceTime(long millis) {
     for (long passed = 0; passed < millis; passed += 100) {
       channel.advanceTimeBy(100, MILLISECONDS);
       channel.runScheduledPendingTasks();
@@ -76,184 +77,189 @@
     return counters.value(Metric.CALLER_CLOSES, reason.code());
   }
 
-  private void assertClosedBy(CloseReason reason) {
+  private void assertClosedFor(CloseReason reason) {
     assertFalse(channel.isOpen());
-    for (CloseReason any : CloseReason.values()) {
-      assertEquals(any == reason ? 1 : 0, closes(any), any.code());
+    for (CloseReason other : CloseReason.values()) {
+      assertEquals(other == reason ? 1 : 0, closes(other), other.code());
     }
   }
 
-  /** Holds bytes back in the channel, as a socket does that takes none. */
-  private void holdBytes() {
+  /** Leaves bytes unflushed in the channel, like a socket that accepts none. */
+  private void writeWithoutFlush() {
     var unused = channel.write(Unpooled.wrappedBuffer(new byte[100]));
   }
 
-  /** Closes as ServiceTalk does. */
-  private void closeFromWithin() {
+  /** Closes the channel from the node's side, as ServiceTalk does. */
+  private void closeByNode() {
     var unused = channel.close();
   }
 
-  // Guards against cuts of which nothing tells whether the node closed for idleness.
+  // Guards against closes of idle connections that no metric attributes to the idle timeout.
   @Test
   void idleCloseIsCounted() {
-    pass(IDLE_MILLIS);
-    assertClosedBy(CloseReason.IDLE);
+    advanceTime(IDLE_MILLIS);
+    assertClosedFor(CloseReason.IDLE);
   }
 
-  // Guards against callers who left being taken for cuts by the node.
+  // Guards against counting a caller's disconnect as an abort by the node.
   @Test
-  void callerThatLeavesInTheMidstOfAnAnswerIsCounted() {
-    connection.requestBegan(answer);
+  void disconnectDuringResponseIsCounted() {
+    connection.requestStarted(response);
     channel.pipeline().fireUserEventTriggered(ChannelInputShutdownEvent.INSTANCE);
-    assertTrue(answer.gone);
-    closeFromWithin();
-    assertClosedBy(CloseReason.CALLER_LEFT_ANSWER);
+    assertTrue(response.disconnected);
+    closeByNode();
+    assertClosedFor(CloseReason.DISCONNECTED_DURING_RESPONSE);
   }
 
-  // Guards against cuts by the node being taken for callers who left.
+  // Guards against counting an abort by the node as a caller's disconnect.
   @Test
-  void closeInTheMidstOfAnAnswerIsCounted() {
-    connection.requestBegan(answer);
-    answer.passedOn = false;
-    closeFromWithin();
-    assertClosedBy(CloseReason.CUT);
+  void closeByNodeDuringResponseIsCounted() {
+    connection.requestStarted(response);
+    response.terminated = false;
+    closeByNode();
+    assertClosedFor(CloseReason.ABORTED);
   }
 
-  // Guards against ends that were told to the caller being taken for cuts.
+  // Guards against counting a close that was announced to the caller as an abort.
   @Test
-  void closeAfterTheLastAnswerIsCounted() {
-    connection.requestBegan(answer);
-    connection.closesAfterAnswer();
-    connection.requestEnded(answer);
-    closeFromWithin();
-    assertClosedBy(CloseReason.LAST_ANSWER);
+  void closeAfterLastResponseIsCounted() {
+    connection.requestStarted(response);
+    connection.closesAfterResponse();
+    connection.requestEnded(response);
+    closeByNode();
+    assertClosedFor(CloseReason.LAST_RESPONSE);
   }
 
-  // Guards against ends between answers being taken for cuts.
+  // Guards against counting a close between responses as an abort.
   @Test
-  void closeBetweenAnswersIsCounted() {
-    connection.requestBegan(answer);
-    connection.requestEnded(answer);
-    closeFromWithin();
-    assertClosedBy(CloseReason.BETWEEN_ANSWERS);
+  void closeBetweenResponsesIsCounted() {
+    connection.requestStarted(response);
+    connection.requestEnded(response);
+    closeByNode();
+    assertClosedFor(CloseReason.BETWEEN_RESPONSES);
   }
 
-  // Guards against answers cut as their bytes were held back for a slow caller: the timer ran.
+  // Guards against an idle timer that runs, and aborts the response, while bytes are buffered for a
+  // slow caller.
   @Test
-  void connectionWhoseAnswerIsHeldBackIsNotIdle() {
-    connection.requestBegan(answer);
-    answer.passedOn = false;
-    connection.requestEnded(answer);
-    pass(2 * IDLE_MILLIS);
+  void connectionWithBufferedResponseIsNotIdle() {
+    connection.requestStarted(response);
+    response.terminated = false;
+    connection.requestEnded(response);
+    advanceTime(2 * IDLE_MILLIS);
     assertTrue(channel.isOpen());
-    answer.passedOn = true;
-    pass(IDLE_MILLIS);
+    response.terminated = true;
+    advanceTime(IDLE_MILLIS);
     assertTrue(channel.isOpen());
-    pass(LOOK_MILLIS);
-    assertClosedBy(CloseReason.IDLE);
+    advanceTime(UNSENT_CHECK_MILLIS);
+    assertClosedFor(CloseReason.IDLE);
   }
 
-  // Guards against answers cut as their last bytes waited in the channel: the timer ran.
+  // Guards against an idle timer that runs, and aborts the response, while its last bytes are
+  // pending
+  // in the channel.
   @Test
-  void connectionWithBytesThatWaitToBeWrittenIsNotIdle() {
-    connection.requestBegan(answer);
-    connection.requestEnded(answer);
-    holdBytes();
-    pass(2 * IDLE_MILLIS);
+  void connectionWithUnwrittenBytesIsNotIdle() {
+    connection.requestStarted(response);
+    connection.requestEnded(response);
+    writeWithoutFlush();
+    advanceTime(2 * IDLE_MILLIS);
     assertTrue(channel.isOpen());
     channel.flush();
-    pass(IDLE_MILLIS);
+    advanceTime(IDLE_MILLIS);
     assertTrue(channel.isOpen());
-    pass(LOOK_MILLIS);
-    assertClosedBy(CloseReason.IDLE);
+    advanceTime(UNSENT_CHECK_MILLIS);
+    assertClosedFor(CloseReason.IDLE);
   }
 
-  // Guards against answers cut by a change of the configuration that lowers the idle limit.
+  // Guards against responses aborted by a configuration change that lowers the idle timeout.
   @Test
-  void loweredLimitClosesNoConnectionThatAnswers() {
-    connection.requestBegan(answer);
+  void loweredTimeoutDoesNotCloseActiveConnection() {
+    connection.requestStarted(response);
     limits = limits(100);
-    pass(IDLE_MILLIS);
-    answer.passedOn = false;
-    connection.requestEnded(answer);
-    pass(IDLE_MILLIS);
+    advanceTime(IDLE_MILLIS);
+    response.terminated = false;
+    connection.requestEnded(response);
+    advanceTime(IDLE_MILLIS);
     assertTrue(channel.isOpen());
   }
 
-  // Guards against a limit that holds only for connections that become idle after its change.
+  // Guards against a changed timeout that applies only to connections that become idle afterwards.
   @Test
-  void loweredLimitHoldsForIdleConnections() {
+  void loweredTimeoutAppliesToIdleConnections() {
     limits = limits(1000);
-    pass(LOOK_AT_REST_MILLIS);
-    assertClosedBy(CloseReason.IDLE);
+    advanceTime(IDLE_CHECK_MILLIS);
+    assertClosedFor(CloseReason.IDLE);
   }
 
-  // Guards against idle connections closed by a limit that is not in force any more.
+  // Guards against idle connections closed by a timeout that is no longer in force.
   @Test
-  void raisedLimitHoldsForIdleConnections() {
-    pass(IDLE_MILLIS / 2);
+  void raisedTimeoutAppliesToIdleConnections() {
+    advanceTime(IDLE_MILLIS / 2);
     limits = limits(2 * IDLE_MILLIS);
-    pass(IDLE_MILLIS);
+    advanceTime(IDLE_MILLIS);
     assertTrue(channel.isOpen());
-    pass(IDLE_MILLIS);
-    assertClosedBy(CloseReason.IDLE);
+    advanceTime(IDLE_MILLIS);
+    assertClosedFor(CloseReason.IDLE);
   }
 
-  // Guards against memory that is held for ever for a caller who reads nothing.
+  // Guards against bytes buffered forever for a caller that does not read.
   @Test
-  void callerThatTakesNothingIsGivenUp() {
-    connection.requestBegan(answer);
-    holdBytes();
-    connection.requestEnded(answer);
-    pass(CallerConnection.STALL_LIMIT.toMillis() - LOOK_MILLIS);
+  void stalledConnectionIsClosed() {
+    connection.requestStarted(response);
+    writeWithoutFlush();
+    connection.requestEnded(response);
+    advanceTime(CallerConnection.STALL_TIMEOUT.toMillis() - UNSENT_CHECK_MILLIS);
     assertTrue(channel.isOpen());
-    pass(LOOK_MILLIS);
-    assertClosedBy(CloseReason.STALLED);
+    advanceTime(UNSENT_CHECK_MILLIS);
+    assertClosedFor(CloseReason.STALLED);
   }
 
-  // Guards against a refusal written into an answer: the next head had begun and was late.
+  // Guards against a refusal written into the middle of a response because the next, pipelined head
+  // was late.
   @Test
-  void lateNextHeadIsNotRefusedInTheMidstOfAnAnswer() {
-    connection.requestBegan(answer);
-    answer.passedOn = false;
-    connection.requestEnded(answer);
+  void lateNextHeadIsNotRejectedDuringResponse() {
+    connection.requestStarted(response);
+    response.terminated = false;
+    connection.requestEnded(response);
     channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {'G', 'E', 'T'}));
-    pass(2 * IDLE_MILLIS);
+    advanceTime(2 * IDLE_MILLIS);
     assertTrue(channel.isOpen());
     assertTrue(channel.outboundMessages().isEmpty());
   }
 
-  // Guards against a request's connection taken for idle: the one before it ended as it began.
+  // Guards against a connection treated as idle because the previous request ended after the next
+  // one had started.
   @Test
-  void endOfAnEarlierRequestDoesNotEndTheNext() {
-    connection.requestBegan(answer);
-    connection.requestBegan(new Held());
-    connection.requestEnded(answer);
-    pass(2 * IDLE_MILLIS);
+  void endOfPreviousRequestDoesNotEndNextRequest() {
+    connection.requestStarted(response);
+    connection.requestStarted(new FakeResponse());
+    connection.requestEnded(response);
+    advanceTime(2 * IDLE_MILLIS);
     assertTrue(channel.isOpen());
   }
 
-  // Guards against a stop that takes an answer for delivered while bytes of it are held.
+  // Guards against a shutdown that treats a response as delivered while bytes of it are buffered.
   @Test
-  void answerIsUnderWayUntilNothingIsHeld() {
-    assertEquals(0, all.activeCount());
-    connection.requestBegan(answer);
-    assertEquals(1, all.activeCount());
-    answer.passedOn = false;
-    connection.requestEnded(answer);
-    assertEquals(1, all.activeCount());
-    answer.passedOn = true;
-    holdBytes();
-    assertEquals(1, all.activeCount());
+  void connectionIsActiveUntilNothingIsBuffered() {
+    assertEquals(0, connections.activeCount());
+    connection.requestStarted(response);
+    assertEquals(1, connections.activeCount());
+    response.terminated = false;
+    connection.requestEnded(response);
+    assertEquals(1, connections.activeCount());
+    response.terminated = true;
+    writeWithoutFlush();
+    assertEquals(1, connections.activeCount());
     channel.flush();
-    assertEquals(0, all.activeCount());
+    assertEquals(0, connections.activeCount());
   }
 
-  // Guards against a stop that waits for a caller who has left.
+  // Guards against a shutdown that waits for a disconnected caller.
   @Test
-  void closedConnectionHasNoAnswerUnderWay() {
-    connection.requestBegan(answer);
-    closeFromWithin();
-    assertEquals(0, all.activeCount());
+  void closedConnectionIsNotActive() {
+    connection.requestStarted(response);
+    closeByNode();
+    assertEquals(0, connections.activeCount());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EndpointConnectionsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EndpointConnectionsTest.java
@@ -32,14 +32,14 @@
 import org.vaneworks.state.HostPort;
 import org.vaneworks.state.StorePosition;
 
-/** Checks what is known of an attempt while it is under way. */
+/** Tests whether an attempt reports that its request may have reached the endpoint. */
 final class EndpointConnectionsTest {
-  /** Generous: nothing is measured. */
-  private static final int SECONDS = 20;
+  /** Only bounds a failing test. */
+  private static final int TIMEOUT_SECONDS = 20;
 
   private final IoExecutor io = NettyIoExecutors.createIoExecutor(1, "test");
   private final EndpointConnections connections =
-      EndpointConnections.create(io, new PlainHeaders());
+      EndpointConnections.create(io, new StubHeaderDialect());
 
   @AfterEach
   void closeLoop() throws Exception {
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void attemptMayHaveArrivedOnceItHasAConnection() throws Exception {
+  void attemptWithConnectionMayHaveArrived() throws Exception {
     HttpServer server =
         HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
     server.createContext(
@@ -61,7 +61,7 @@
       Outcome outcome = new Outcome();
       CompletableFuture<EndpointCall> sent = new CompletableFuture<>();
       io.execute(() -> sent.complete(connections.send(attempt(server.getAddress()), outcome)));
-      assertTrue(outcome.answered.get(SECONDS, TimeUnit.SECONDS));
+      assertTrue(outcome.answered.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
       assertTrue(sent.get().mayHaveArrived());
     } finally {
       server.stop(0);
@@ -69,16 +69,16 @@
   }
 
   @Test
-  void attemptWithoutAConnectionHasNotArrived() throws Exception {
+  void attemptWithoutConnectionHasNotArrived() throws Exception {
     try (Socket reserved = new Socket()) {
-      // Bound but not listening: connections are refused and nobody else gets the port.
+      // Bound but not listening: connections are refused, and no other process gets the port.
       reserved.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       Outcome outcome = new Outcome();
       CompletableFuture<EndpointCall> sent = new CompletableFuture<>();
       InetSocketAddress address = (InetSocketAddress) reserved.getLocalSocketAddress();
       io.execute(() -> sent.complete(connections.send(attempt(address), outcome)));
-      assertFalse(outcome.answered.get(SECONDS, TimeUnit.SECONDS));
-      assertFalse(sent.get(SECONDS, TimeUnit.SECONDS).mayHaveArrived());
+      assertFalse(outcome.answered.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+      assertFalse(sent.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).mayHaveArrived());
       assertInstanceOf(NobodyListensException.class, outcome.cause);
     }
   }
@@ -103,15 +103,15 @@
             "",
             StorePosition.START);
     return new Attempt(
-        new EntryRequest(head, body, new PlainHeaders(), "q1"),
+        new EntryRequest(head, body, new StubHeaderDialect(), "q1"),
         endpoint,
         Optional.empty(),
-        Duration.ofSeconds(SECONDS),
+        Duration.ofSeconds(TIMEOUT_SECONDS),
         Optional.empty(),
         Optional.empty());
   }
 
-  /** Whether the attempt was answered, once it is over. */
+  /** Records whether the attempt got a response, once it has ended. */
   private static final class Outcome implements Listener {
     private final CompletableFuture<Boolean> answered = new CompletableFuture<>();
     private volatile Throwable cause;
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryFixture.java
@@ -30,24 +30,24 @@
 import org.vaneworks.state.entry.EntryLimits;
 import org.vaneworks.telemetry.Counters;
 
-/** A server of callers whose answers the test gives, over loopback sockets. */
+/** An {@link EntryServer} on loopback whose requests are answered by the test. */
 final class EntryFixture implements AutoCloseable {
-  /** Generous: nothing is measured. */
-  private static final int SECONDS = 30;
+  /** Only bounds a failing test. */
+  private static final int TIMEOUT_SECONDS = 30;
 
-  private static final int READ_MILLIS = SECONDS * 1000;
+  private static final int READ_TIMEOUT_MILLIS = TIMEOUT_SECONDS * 1000;
 
-  /** Small, so that bytes are soon held at the node. */
-  private static final int RECEIVE_BYTES = 4096;
+  /** Small, so that the server soon has to buffer bytes. */
+  private static final int RECEIVE_BUFFER_BYTES = 4096;
 
-  /** What a test knows of one request. */
-  static final class Taken implements CallerAnswer.Flow {
-    final CallerAnswer answer;
-    private final CountDownLatch left = new CountDownLatch(1);
-    private final AtomicInteger gone = new AtomicInteger();
+  /** A request that was received by the server, with the response to it. */
+  static final class ReceivedRequest implements CallerAnswer.Flow {
+    final CallerAnswer response;
+    private final CountDownLatch disconnected = new CountDownLatch(1);
+    private final AtomicInteger disconnects = new AtomicInteger();
 
-    Taken(CallerAnswer answer) {
-      this.answer = answer;
+    ReceivedRequest(CallerAnswer response) {
+      this.response = response;
     }
 
     @Override
@@ -55,27 +55,27 @@
 
     @Override
     public void gone() {
-      gone.incrementAndGet();
-      left.countDown();
+      disconnects.incrementAndGet();
+      disconnected.countDown();
     }
 
-    /** Waits until the caller was seen to have left. */
-    void awaitGone() throws InterruptedException {
-      if (!left.await(SECONDS, TimeUnit.SECONDS)) {
-        throw new IllegalStateException("the caller was not seen to leave");
+    /** Waits until the caller was reported as disconnected. */
+    void awaitDisconnect() throws InterruptedException {
+      if (!disconnected.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+        throw new IllegalStateException("the caller was not reported as disconnected");
       }
     }
 
-    /** Returns how often the caller was said to have left. */
-    int timesGone() {
-      return gone.get();
+    /** Returns how often the caller was reported as disconnected. */
+    int disconnects() {
+      return disconnects.get();
     }
   }
 
   final IoExecutor io = NettyIoExecutors.createIoExecutor(1, "test");
   final CallerConnections connections = CallerConnections.create();
   final Counters counters = Counters.in(new SimpleMeterRegistry());
-  private final BlockingQueue<Taken> taken = new LinkedBlockingQueue<>();
+  private final BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
   private final HttpServerContext server;
   private volatile boolean closing;
   private volatile EntryLimits limits = limits(Duration.ofHours(1));
@@ -85,8 +85,8 @@
         EntryServer.listen(
             new HostPort("127.0.0.1", 0),
             io,
-            this::take,
-            new PlainHeaders(),
+            this::receive,
+            new StubHeaderDialect(),
             16_384,
             () -> limits,
             () -> closing,
@@ -99,66 +99,66 @@
   }
 
   private static EntryLimits limits(Duration idle) {
-    return new EntryLimits(16_384, 1 << 20, Duration.ofSeconds(SECONDS), idle);
+    return new EntryLimits(16_384, 1 << 20, Duration.ofSeconds(TIMEOUT_SECONDS), idle);
   }
 
-  void idleLimit(Duration idle) {
+  void setIdleTimeout(Duration idle) {
     limits = limits(idle);
   }
 
-  /** Each answer is the last of its connection from now on. */
-  void closeAfterAnswers() {
+  /** Makes every later response the last one of its connection. */
+  void closeAfterResponses() {
     closing = true;
   }
 
-  private CallerAnswer.Flow take(CallerRequest request, CallerAnswer answer) {
-    Taken next = new Taken(answer);
-    taken.add(next);
+  private CallerAnswer.Flow receive(CallerRequest request, CallerAnswer response) {
+    ReceivedRequest next = new ReceivedRequest(response);
+    received.add(next);
     return next;
   }
 
-  /** Returns the next request that was taken. */
-  Taken next() throws InterruptedException {
-    Taken next = taken.poll(SECONDS, TimeUnit.SECONDS);
+  /** Waits for the next request and returns it. */
+  ReceivedRequest next() throws InterruptedException {
+    ReceivedRequest next = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (next == null) {
-      throw new IllegalStateException("no request came");
+      throw new IllegalStateException("no request was received");
     }
     return next;
   }
 
-  /** Returns a connection whose caller takes little before it reads. */
+  /** Opens a caller connection with a small receive buffer. */
   Socket connect() throws IOException {
     InetSocketAddress address = (InetSocketAddress) server.listenAddress();
     Socket socket = new Socket();
-    socket.setReceiveBufferSize(RECEIVE_BYTES);
-    socket.setSoTimeout(READ_MILLIS);
+    socket.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
+    socket.setSoTimeout(READ_TIMEOUT_MILLIS);
     socket.connect(new InetSocketAddress("127.0.0.1", address.getPort()));
     return socket;
   }
 
-  static void ask(Socket socket) throws IOException {
-    ask(socket, "GET");
+  static void sendRequest(Socket socket) throws IOException {
+    sendRequest(socket, "GET");
   }
 
-  static void ask(Socket socket, String method) throws IOException {
-    ask(socket, method, "");
+  static void sendRequest(Socket socket, String method) throws IOException {
+    sendRequest(socket, method, "");
   }
 
-  static void ask(Socket socket, String method, String headers) throws IOException {
+  static void sendRequest(Socket socket, String method, String headers) throws IOException {
     String request = method + " / HTTP/1.1\r\nHost: a\r\n" + headers + "\r\n";
     socket.getOutputStream().write(request.getBytes(US_ASCII));
   }
 
-  /** Runs a step on the node's loop and waits for its end. */
-  void onLoop(Runnable step) throws Exception {
-    io.submit(step).toFuture().get(SECONDS, TimeUnit.SECONDS);
+  /** Runs an action on the event loop and waits for its end. */
+  void runOnEventLoop(Runnable action) throws Exception {
+    io.submit(action).toFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  /** Returns the head of a streamed answer. */
-  static EndpointAnswerHead head() {
+  /** Returns the head of a chunked response. */
+  static EndpointResponseHead responseHead() {
     HttpHeaders headers = DefaultHttpHeadersFactory.INSTANCE.newHeaders();
     headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-    return new EndpointAnswerHead(
+    return new EndpointResponseHead(
         HttpResponseMetaDataFactory.newResponseMetaData(
             HttpProtocolVersion.HTTP_1_1, HttpResponseStatus.OK, headers),
         false,
@@ -167,18 +167,18 @@
         EndpointStatement.NONE);
   }
 
-  /** Waits until a connection that was opened now has been closed as idle. */
-  void awaitIdleLimit() throws IOException {
+  /** Waits until a newly opened connection was closed by the idle timeout. */
+  void awaitIdleTimeout() throws IOException {
     try (Socket idle = connect()) {
       if (idle.getInputStream().read() != -1) {
-        throw new IllegalStateException("an answer nobody asked for");
+        throw new IllegalStateException("a response without a request");
       }
     }
   }
 
   @Override
   public void close() throws Exception {
-    server.closeAsync().toFuture().get(SECONDS, TimeUnit.SECONDS);
-    io.closeAsync().toFuture().get(SECONDS, TimeUnit.SECONDS);
+    server.closeAsync().toFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    io.closeAsync().toFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 }
--- /dev/null
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryResponseTest.java
@@ -0,0 +1,75 @@
+package org.vaneworks.transport.entry;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.servicetalk.buffer.api.BufferAllocator;
+import io.servicetalk.buffer.netty.BufferAllocators;
+import io.servicetalk.concurrent.Cancellable;
+import io.servicetalk.http.api.DefaultHttpHeadersFactory;
+import io.servicetalk.http.api.DefaultStreamingHttpRequestResponseFactory;
+import io.servicetalk.http.api.HttpProtocolVersion;
+import io.servicetalk.http.api.StreamingHttpResponse;
+import org.junit.jupiter.api.Test;
+import org.vaneworks.coordination.forwarding.CallerAnswer;
+
+/** Tests the events that a response reports to its connection and its listener. */
+final class EntryResponseTest {
+  private static final BufferAllocator ALLOCATOR = BufferAllocators.PREFER_HEAP_ALLOCATOR;
+
+  private final RecordingConnection connection = new RecordingConnection();
+  private final EntryResponse entryResponse =
+      new EntryResponse(
+          new DefaultStreamingHttpRequestResponseFactory(
+              ALLOCATOR, DefaultHttpHeadersFactory.INSTANCE, HttpProtocolVersion.HTTP_1_1),
+          ALLOCATOR,
+          () -> false,
+          connection);
+
+  private static final class RecordingConnection implements EntryResponse.ConnectionListener {
+    private int ends;
+
+    @Override
+    public void requestEnded(PendingResponse ended) {
+      ends++;
+    }
+
+    @Override
+    public void closesAfterResponse() {}
+
+    @Override
+    public void aborted() {}
+  }
+
+  private static final class RecordingListener implements CallerAnswer.Flow {
+    private int disconnects;
+
+    @Override
+    public void drained() {}
+
+    @Override
+    public void gone() {
+      disconnects++;
+    }
+  }
+
+  // Guards against a connection without any timer, because a cancelled response never ended.
+  @Test
+  void requestEndsExactlyOnceWhenBodyIsCancelled() throws Exception {
+    RecordingListener listener = new RecordingListener();
+    entryResponse.listener(listener);
+    var responseFuture = entryResponse.response().toFuture();
+    entryResponse.head(EntryFixture.responseHead());
+    StreamingHttpResponse callerResponse = responseFuture.get();
+    Cancellable body = callerResponse.payloadBody().forEach(part -> {});
+    body.cancel();
+    assertEquals(1, listener.disconnects);
+    assertEquals(1, connection.ends);
+    assertTrue(entryResponse.isTerminated());
+    entryResponse.callerDisconnected();
+    entryResponse.end();
+    entryResponse.cut();
+    assertEquals(1, listener.disconnects);
+    assertEquals(1, connection.ends);
+  }
+}
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/SlowCallerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/SlowCallerTest.java
@@ -13,124 +13,127 @@
 import org.junit.jupiter.api.Test;
 import org.vaneworks.telemetry.Metric;
 
-/** Checks that a caller who reads late gets its whole answer, over sockets. */
+/** Tests over sockets that a slow caller gets its complete response. */
 final class SlowCallerTest {
-  private static final int PIECE_BYTES = 64 << 10;
+  private static final int CHUNK_BYTES = 64 << 10;
 
-  /** Together more than the sockets between caller and node hold. */
-  private static final int PIECES = 256;
+  /** Together more than the socket buffers between caller and node can take. */
+  private static final int CHUNKS = 256;
 
-  private static final String END_MARK = "\r\n0\r\n\r\n";
+  private static final String LAST_CHUNK = "\r\n0\r\n\r\n";
 
-  private EntryFixture node;
+  private EntryFixture server;
 
   @BeforeEach
   void start() throws Exception {
-    node = EntryFixture.start();
+    server = EntryFixture.start();
   }
 
   @AfterEach
   void stop() throws Exception {
-    node.close();
+    server.close();
   }
 
-  private void answerWhole(EntryFixture.Taken taken) throws Exception {
-    node.onLoop(
+  private void sendResponse(EntryFixture.ReceivedRequest request) throws Exception {
+    server.runOnEventLoop(
         () -> {
-          taken.answer.head(EntryFixture.head());
-          for (int i = 0; i < PIECES; i++) {
-            taken.answer.data(new byte[PIECE_BYTES]);
+          request.response.head(EntryFixture.responseHead());
+          for (int i = 0; i < CHUNKS; i++) {
+            request.response.data(new byte[CHUNK_BYTES]);
           }
-          taken.answer.end();
+          request.response.end();
         });
   }
 
-  private static void assertReadsWhole(Socket socket) throws IOException {
-    String got = new String(readAll(socket), ISO_8859_1);
-    assertTrue(got.endsWith(END_MARK), "the answer ended after " + got.length() + " bytes");
-    long zeros = got.chars().filter(c -> c == 0).count();
-    assertEquals((long) PIECES * PIECE_BYTES, zeros);
+  private static void assertReadsCompleteResponse(Socket socket) throws IOException {
+    String received = new String(readResponse(socket), ISO_8859_1);
+    assertTrue(
+        received.endsWith(LAST_CHUNK), "the response ended after " + received.length() + " bytes");
+    long zeros = received.chars().filter(c -> c == 0).count();
+    assertEquals((long) CHUNKS * CHUNK_BYTES, zeros);
   }
 
-  /** Reads up to the end of an answer, or of the connection. */
-  private static byte[] readAll(Socket socket) throws IOException {
-    ByteArrayOutputStream got = new ByteArrayOutputStream();
-    byte[] part = new byte[PIECE_BYTES];
+  /** Reads up to the end of a response or of the connection. */
+  private static byte[] readResponse(Socket socket) throws IOException {
+    ByteArrayOutputStream received = new ByteArrayOutputStream();
+    byte[] buffer = new byte[CHUNK_BYTES];
     String tail = "";
-    while (!tail.endsWith(END_MARK)) {
-      int read = socket.getInputStream().read(part);
+    while (!tail.endsWith(LAST_CHUNK)) {
+      int read = socket.getInputStream().read(buffer);
       if (read == -1) {
         break;
       }
-      got.write(part, 0, read);
-      String longer = tail + new String(part, 0, read, ISO_8859_1);
-      tail = longer.substring(Math.max(0, longer.length() - END_MARK.length()));
+      received.write(buffer, 0, read);
+      String extended = tail + new String(buffer, 0, read, ISO_8859_1);
+      tail = extended.substring(Math.max(0, extended.length() - LAST_CHUNK.length()));
     }
-    return got.toByteArray();
+    return received.toByteArray();
   }
 
-  // Guards against answers cut as their bytes still waited for a slow caller: the timer ran.
+  // Guards against an idle timer that runs, and aborts the response, while bytes are buffered for a
+  // slow caller.
   @Test
-  void answerHeldForASlowCallerOutlivesTheIdleLimit() throws Exception {
-    node.idleLimit(Duration.ofMillis(100));
-    try (Socket caller = node.connect()) {
-      EntryFixture.ask(caller);
-      answerWhole(node.next());
-      node.awaitIdleLimit();
-      assertReadsWhole(caller);
+  void responseBufferedForSlowCallerOutlivesIdleTimeout() throws Exception {
+    server.setIdleTimeout(Duration.ofMillis(100));
+    try (Socket caller = server.connect()) {
+      EntryFixture.sendRequest(caller);
+      sendResponse(server.next());
+      server.awaitIdleTimeout();
+      assertReadsCompleteResponse(caller);
     }
-    assertEquals(0, node.counters.value(Metric.CALLER_CLOSES, "idle-while-held"));
+    assertEquals(0, server.counters.value(Metric.CALLER_CLOSES, "idle-while-held"));
   }
 
-  // Guards against a request's connection taken for idle: the one before it ended as it began.
+  // Guards against a connection treated as idle because the previous request ended after the next
+  // one had started.
   @Test
-  void secondAnswerOfACallerWhoAsksAheadOutlivesTheIdleLimit() throws Exception {
-    node.idleLimit(Duration.ofMillis(100));
-    try (Socket caller = node.connect()) {
-      EntryFixture.ask(caller);
-      EntryFixture.ask(caller);
-      EntryFixture.Taken first = node.next();
-      node.onLoop(() -> first.answer.head(EntryFixture.head()));
-      node.onLoop(first.answer::end);
-      readAll(caller);
-      EntryFixture.Taken second = node.next();
-      node.awaitIdleLimit();
-      node.onLoop(() -> second.answer.head(EntryFixture.head()));
-      node.onLoop(() -> second.answer.data(new byte[PIECE_BYTES]));
-      node.onLoop(second.answer::end);
-      String got = new String(readAll(caller), ISO_8859_1);
-      assertTrue(got.endsWith(END_MARK), got);
+  void secondPipelinedResponseOutlivesIdleTimeout() throws Exception {
+    server.setIdleTimeout(Duration.ofMillis(100));
+    try (Socket caller = server.connect()) {
+      EntryFixture.sendRequest(caller);
+      EntryFixture.sendRequest(caller);
+      EntryFixture.ReceivedRequest first = server.next();
+      server.runOnEventLoop(() -> first.response.head(EntryFixture.responseHead()));
+      server.runOnEventLoop(first.response::end);
+      readResponse(caller);
+      EntryFixture.ReceivedRequest second = server.next();
+      server.awaitIdleTimeout();
+      server.runOnEventLoop(() -> second.response.head(EntryFixture.responseHead()));
+      server.runOnEventLoop(() -> second.response.data(new byte[CHUNK_BYTES]));
+      server.runOnEventLoop(second.response::end);
+      String received = new String(readResponse(caller), ISO_8859_1);
+      assertTrue(received.endsWith(LAST_CHUNK), received);
     }
   }
 
-  // Guards against a caller who left in the midst of the second answer and is not noticed.
+  // Guards against an undetected disconnect of the caller during the second pipelined response.
   @Test
-  void callerWhoAskedAheadAndLeftIsNoticed() throws Exception {
-    EntryFixture.Taken second;
-    try (Socket caller = node.connect()) {
-      EntryFixture.ask(caller);
-      EntryFixture.ask(caller);
-      EntryFixture.Taken first = node.next();
-      node.onLoop(() -> first.answer.head(EntryFixture.head()));
-      node.onLoop(first.answer::end);
-      second = node.next();
-      node.onLoop(() -> second.answer.head(EntryFixture.head()));
+  void disconnectDuringSecondPipelinedResponseIsDetected() throws Exception {
+    EntryFixture.ReceivedRequest second;
+    try (Socket caller = server.connect()) {
+      EntryFixture.sendRequest(caller);
+      EntryFixture.sendRequest(caller);
+      EntryFixture.ReceivedRequest first = server.next();
+      server.runOnEventLoop(() -> first.response.head(EntryFixture.responseHead()));
+      server.runOnEventLoop(first.response::end);
+      second = server.next();
+      server.runOnEventLoop(() -> second.response.head(EntryFixture.responseHead()));
     }
-    second.awaitGone();
-    assertEquals(1, second.timesGone());
+    second.awaitDisconnect();
+    assertEquals(1, second.disconnects());
   }
 
-  // Guards against a connection lost to the caller after an answer whose body nobody takes.
+  // Guards against a connection that is unusable after a response whose body is not subscribed to.
   @Test
-  void connectionGoesOnAfterAnAnswerToHead() throws Exception {
-    try (Socket caller = node.connect()) {
-      EntryFixture.ask(caller, "HEAD");
-      EntryFixture.Taken first = node.next();
-      node.onLoop(() -> first.answer.head(EntryFixture.head()));
-      node.onLoop(first.answer::end);
-      EntryFixture.ask(caller);
-      answerWhole(node.next());
-      assertReadsWhole(caller);
+  void connectionStaysUsableAfterHeadRequest() throws Exception {
+    try (Socket caller = server.connect()) {
+      EntryFixture.sendRequest(caller, "HEAD");
+      EntryFixture.ReceivedRequest first = server.next();
+      server.runOnEventLoop(() -> first.response.head(EntryFixture.responseHead()));
+      server.runOnEventLoop(first.response::end);
+      EntryFixture.sendRequest(caller);
+      sendResponse(server.next());
+      assertReadsCompleteResponse(caller);
     }
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/PlainHeaders.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/StubHeaderDialect.java
@@ -8,8 +8,8 @@
 import org.vaneworks.state.EndpointStatement;
 import org.vaneworks.state.HostPort;
 
-/** Headers that carry nothing; each request has the same id. */
-final class PlainHeaders implements HeaderDialect {
+/** A dialect that reads and writes no headers; each request has the same ID. */
+final class StubHeaderDialect implements HeaderDialect {
   @Override
   public Optional<String> requestId(HttpHeaders headers) {
     return Optional.of("q1");
--- a/vaneworks/src/main/java/org/vaneworks/transport/BoundedBody.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/BoundedBody.java
@@ -8,28 +8,28 @@
 import org.vaneworks.state.Reason;
 import org.vaneworks.state.Refusal;
 
-/** Collects a body up to a bound. Not thread-safe. */
+/** Collects a request body up to a maximum size. Not thread-safe. */
 final class BoundedBody {
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-  private final int limit;
+  private final int maxBytes;
 
-  private BoundedBody(int limit) {
-    this.limit = limit;
+  private BoundedBody(int maxBytes) {
+    this.maxBytes = maxBytes;
   }
 
-  static BoundedBody of(int limit) {
-    return new BoundedBody(limit);
+  static BoundedBody of(int maxBytes) {
+    return new BoundedBody(maxBytes);
   }
 
   /**
-   * Adds a part.
+   * Appends a part of the body.
    *
-   * @throws org.vaneworks.state.RefusalException if the body grows over its bound
+   * @throws org.vaneworks.state.RefusalException if the body exceeds its maximum size
    */
   @CanIgnoreReturnValue
   BoundedBody add(Buffer part) {
-    if (bytes.size() + part.readableBytes() > limit) {
-      throw Refusal.before(Reason.BODY_TOO_LARGE, "allowed: " + limit + " bytes").toException();
+    if (bytes.size() + part.readableBytes() > maxBytes) {
+      throw Refusal.before(Reason.BODY_TOO_LARGE, "allowed: " + maxBytes + " bytes").toException();
     }
     byte[] copy = new byte[part.readableBytes()];
     part.readBytes(copy);
--- a/vaneworks/src/main/java/org/vaneworks/transport/CallerHeaders.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/CallerHeaders.java
@@ -11,7 +11,7 @@
 import org.vaneworks.state.Refusal;
 import org.vaneworks.state.RefusalException;
 
-/** The callers' headers. */
+/** Names of the headers exchanged with callers, and the parser of request options. */
 final class CallerHeaders {
   static final String REPEATABLE = "vaneworks-repeatable";
   static final String KEY = "idempotency-key";
@@ -22,19 +22,19 @@
   static final String REASON = "vaneworks-reason";
   static final String REQUEST = "vaneworks-request";
 
-  private static final Pattern KEY_FORM = Pattern.compile("[\\x21-\\x7e]{1,200}");
+  private static final Pattern KEY_PATTERN = Pattern.compile("[\\x21-\\x7e]{1,200}");
   private static final long MAX_DEADLINE_MS = 600_000;
 
   private CallerHeaders() {}
 
   /**
-   * Reads the options.
+   * Parses the options of a request.
    *
-   * @throws RefusalException naming the header that is not accepted
+   * @throws RefusalException naming the invalid header
    */
   static CallerOptions read(HttpHeaders headers) {
-    Optional<String> key = text(headers, KEY).map(value -> checkForm(KEY, value));
-    Optional<String> ticket = text(headers, TICKET).map(value -> checkForm(TICKET, value));
+    Optional<String> key = text(headers, KEY).map(value -> checkKeyFormat(KEY, value));
+    Optional<String> ticket = text(headers, TICKET).map(value -> checkKeyFormat(TICKET, value));
     if (key.isPresent() && ticket.isPresent()) {
       throw invalid(TICKET, "not together with " + KEY);
     }
@@ -50,8 +50,8 @@
     return Optional.ofNullable(headers.get(name)).map(CharSequence::toString);
   }
 
-  private static String checkForm(String name, String value) {
-    if (!KEY_FORM.matcher(value).matches()) {
+  private static String checkKeyFormat(String name, String value) {
+    if (!KEY_PATTERN.matcher(value).matches()) {
       throw invalid(name, "must be 1 to 200 visible ASCII characters");
     }
     return value;
@@ -80,7 +80,7 @@
         return Duration.ofMillis(millis);
       }
     } catch (NumberFormatException e) {
-      // Reported below, with what is allowed.
+      // Reported below, together with the allowed values.
     }
     throw invalid(DEADLINE_MS, "is " + text + ", allowed: 1 to " + MAX_DEADLINE_MS);
   }
--- a/vaneworks/src/main/java/org/vaneworks/transport/CallerResponses.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/CallerResponses.java
@@ -16,20 +16,18 @@
 import org.vaneworks.state.Refusal;
 import org.vaneworks.state.RefusalException;
 
-/** Builds the responses to one request. */
+/** Builds the HTTP response to one caller request. */
 final class CallerResponses {
   private static final int MILLIS_PER_SECOND = 1000;
 
-  private final StreamingHttpResponseFactory responses;
+  private final StreamingHttpResponseFactory factory;
   private final BufferAllocator allocator;
   private final BooleanSupplier stopping;
   private final String requestId = UUID.randomUUID().toString();
 
   CallerResponses(
-      StreamingHttpResponseFactory responses,
-      HttpServiceContext context,
-      BooleanSupplier stopping) {
-    this.responses = responses;
+      StreamingHttpResponseFactory factory, HttpServiceContext context, BooleanSupplier stopping) {
+    this.factory = factory;
     this.allocator = context.executionContext().bufferAllocator();
     this.stopping = stopping;
   }
@@ -42,22 +40,22 @@
     return allocator.fromUtf8(text);
   }
 
-  StreamingHttpResponse plain(HttpResponseStatus status, String contentType, String body) {
+  StreamingHttpResponse withBody(HttpResponseStatus status, String contentType, String body) {
     Buffer buffer = buffer(body);
-    StreamingHttpResponse response = open(status, contentType);
+    StreamingHttpResponse response = newResponse(status, contentType);
     response.setHeader(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(buffer.readableBytes()));
     return response.payloadBody(Publisher.from(buffer));
   }
 
-  StreamingHttpResponse streamed(Publisher<Buffer> body) {
-    StreamingHttpResponse response = open(HttpResponseStatus.OK, "text/event-stream");
+  StreamingHttpResponse eventStream(Publisher<Buffer> body) {
+    StreamingHttpResponse response = newResponse(HttpResponseStatus.OK, "text/event-stream");
     response.setHeader(HttpHeaderNames.CACHE_CONTROL, HttpHeaderValues.NO_CACHE);
     return response.payloadBody(body);
   }
 
-  /** A stopping node closes each connection politely, with the answer that it carries. */
-  private StreamingHttpResponse open(HttpResponseStatus status, String contentType) {
-    StreamingHttpResponse response = responses.newResponse(status);
+  /** Creates the response head; a stopping node closes the connection after this response. */
+  private StreamingHttpResponse newResponse(HttpResponseStatus status, String contentType) {
+    StreamingHttpResponse response = factory.newResponse(status);
     response.setHeader(HttpHeaderNames.CONTENT_TYPE, contentType);
     response.setHeader(CallerHeaders.REQUEST, requestId);
     if (stopping.getAsBoolean()) {
@@ -70,26 +68,26 @@
     int code = refusal.reason().status();
     HttpResponseStatus status = HttpResponseStatus.of(code, refusal.reason().code());
     StreamingHttpResponse response =
-        plain(status, CallerJson.PROBLEM, CallerJson.writeProblem(refusal));
+        withBody(status, CallerJson.PROBLEM, CallerJson.writeProblem(refusal));
     response.setHeader(CallerHeaders.VERDICT, refusal.verdict().name());
     response.setHeader(CallerHeaders.REASON, refusal.reason().code());
     refusal
         .retryAfter()
         .ifPresent(
-            wait -> {
+            retryAfter -> {
               long seconds =
-                  (Math.max(1, wait.toMillis()) + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
+                  (Math.max(1, retryAfter.toMillis()) + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
               response.setHeader(HttpHeaderNames.RETRY_AFTER, Long.toString(seconds));
             });
     return response;
   }
 
-  /** Returns the response to a failure that the gate has counted already. */
-  StreamingHttpResponse counted(Throwable failure) {
+  /** Returns the response to a failure that was already counted in the refusal metrics. */
+  StreamingHttpResponse alreadyCounted(Throwable failure) {
     return problem(RefusalException.refusalOf(failure));
   }
 
-  StreamingHttpResponse relayed(ServiceReply reply) {
-    return plain(HttpResponseStatus.of(reply.status(), ""), reply.contentType(), reply.body());
+  StreamingHttpResponse serviceReply(ServiceReply reply) {
+    return withBody(HttpResponseStatus.of(reply.status(), ""), reply.contentType(), reply.body());
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/transport/CallerServer.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/CallerServer.java
@@ -34,7 +34,7 @@
 import org.vaneworks.telemetry.Event;
 import org.vaneworks.telemetry.EventLog;
 
-/** The callers' HTTP interface; docs/OPERATIONS.md describes it. */
+/** HTTP server for callers; docs/OPERATIONS.md describes its API. */
 public final class CallerServer {
   private static final String TICKETS_PATH = "/v1/tickets";
   private static final int MAX_TICKETS = 1000;
@@ -54,10 +54,10 @@
   }
 
   /**
-   * Listens.
+   * Starts the server.
    *
-   * @param maxBodyBytes longest body that is read
-   * @param metrics text of {@code /metrics}
+   * @param maxBodyBytes maximum size of a request body
+   * @param metrics returns the text served at {@code /metrics}
    */
   public static HttpServerContext listen(
       HostPort address, Node node, Executor executor, int maxBodyBytes, Supplier<String> metrics)
@@ -73,12 +73,13 @@
   private Single<StreamingHttpResponse> handle(
       HttpServiceContext context,
       StreamingHttpRequest request,
-      StreamingHttpResponseFactory responses) {
-    CallerResponses answers = new CallerResponses(responses, context, () -> isStopping());
+      StreamingHttpResponseFactory factory) {
+    CallerResponses responses = new CallerResponses(factory, context, () -> isStopping());
     try {
-      return route(request, answers).onErrorResume(failure -> failed(request, answers, failure));
+      return route(request, responses)
+          .onErrorResume(failure -> handleFailure(request, responses, failure));
     } catch (RuntimeException e) {
-      return failed(request, answers, e);
+      return handleFailure(request, responses, e);
     }
   }
 
@@ -86,18 +87,21 @@
     return node.phase().compareTo(Phase.LEAVING) >= 0;
   }
 
-  private Single<StreamingHttpResponse> failed(
-      StreamingHttpRequest request, CallerResponses answers, Throwable failure) {
+  private Single<StreamingHttpResponse> handleFailure(
+      StreamingHttpRequest request, CallerResponses responses, Throwable failure) {
     Refusal refusal = refusalOf(failure);
     node.gate().count(refusal);
-    StreamingHttpResponse response = answers.problem(refusal);
+    StreamingHttpResponse response = responses.problem(refusal);
     if (refusal.reason() == Reason.METHOD_NOT_ALLOWED) {
-      response.setHeader(HttpHeaderNames.ALLOW, allowedAt(request.path()).name());
+      response.setHeader(HttpHeaderNames.ALLOW, allowedMethod(request.path()).name());
     }
     return Single.succeeded(response);
   }
 
-  /** Failures that the gate reported were counted there; only the transport's own come here. */
+  /**
+   * Converts a failure that occurred in the transport; failures in request dispatch are counted
+   * there and don't get here.
+   */
   private static Refusal refusalOf(Throwable failure) {
     if (failure instanceof InvalidFieldException invalid) {
       Reason reason =
@@ -111,20 +115,20 @@
   }
 
   private Single<StreamingHttpResponse> route(
-      StreamingHttpRequest request, CallerResponses answers) {
+      StreamingHttpRequest request, CallerResponses responses) {
     List<String> path = Splitter.on('/').omitEmptyStrings().splitToList(request.path());
     if (path.size() == 4 && isWorkspacePath(path) && path.get(3).equals("completions")) {
-      return completion(path.get(2), request, answers);
+      return completion(path.get(2), request, responses);
     }
     if (path.size() >= 5 && isWorkspacePath(path) && path.get(3).equals("services")) {
-      return service(path, request, answers);
+      return service(path, request, responses);
     }
     return switch (request.path()) {
-      case TICKETS_PATH -> tickets(request, answers);
-      case "/health/live" -> text(request, answers, HttpResponseStatus.OK, "live\n");
-      case "/health/ready" -> readiness(request, answers);
-      case "/metrics" -> text(request, answers, HttpResponseStatus.OK, metrics.get());
-      case "/status" -> status(request, answers);
+      case TICKETS_PATH -> tickets(request, responses);
+      case "/health/live" -> text(request, responses, HttpResponseStatus.OK, "live\n");
+      case "/health/ready" -> readiness(request, responses);
+      case "/metrics" -> text(request, responses, HttpResponseStatus.OK, metrics.get());
+      case "/status" -> status(request, responses);
       default -> throw Refusal.before(Reason.UNKNOWN_PATH, request.path()).toException();
     };
   }
@@ -134,7 +138,7 @@
   }
 
   private Single<StreamingHttpResponse> completion(
-      String workspace, StreamingHttpRequest request, CallerResponses answers) {
+      String workspace, StreamingHttpRequest request, CallerResponses responses) {
     checkMethod(request);
     requireJson(request);
     CallerOptions options = CallerHeaders.read(request.headers());
@@ -142,14 +146,14 @@
         .flatMap(
             text -> {
               CallerJson.Parsed parsed = CallerJson.readCompletion(text);
-              CompletionAnswer answer = new CompletionAnswer(answers, parsed.stream());
-              Runnable cancel = node.gate().complete(workspace, parsed.body(), options, answer);
-              return answer.response(cancel);
+              CompletionResponse response = new CompletionResponse(responses, parsed.stream());
+              Runnable cancel = node.gate().complete(workspace, parsed.body(), options, response);
+              return response.response(cancel);
             });
   }
 
   private Single<StreamingHttpResponse> service(
-      List<String> path, StreamingHttpRequest request, CallerResponses answers) {
+      List<String> path, StreamingHttpRequest request, CallerResponses responses) {
     CallerOptions options = CallerHeaders.read(request.headers());
     String prefix = "/v1/workspaces/" + path.get(2) + "/services/" + path.get(4);
     String rest = request.requestTarget().substring(prefix.length());
@@ -158,20 +162,23 @@
         .flatMap(
             text -> {
               ServiceCall call =
-                  new ServiceCall(request.method().name(), target, text, answers.requestId());
+                  new ServiceCall(request.method().name(), target, text, responses.requestId());
               CompletableFuture<ServiceReply> reply =
                   node.gate().call(path.get(2), path.get(4), call, options);
-              return Single.fromStage(reply).map(answers::relayed).onErrorReturn(answers::counted);
+              return Single.fromStage(reply)
+                  .map(responses::serviceReply)
+                  .onErrorReturn(responses::alreadyCounted);
             });
   }
 
   private Single<StreamingHttpResponse> tickets(
-      StreamingHttpRequest request, CallerResponses answers) {
+      StreamingHttpRequest request, CallerResponses responses) {
     checkMethod(request);
     return Single.fromStage(node.gate().tickets(ticketCount(request)))
         .map(
-            tickets -> answers.plain(HttpResponseStatus.OK, JSON, CallerJson.writeTickets(tickets)))
-        .onErrorReturn(answers::counted);
+            tickets ->
+                responses.withBody(HttpResponseStatus.OK, JSON, CallerJson.writeTickets(tickets)))
+        .onErrorReturn(responses::alreadyCounted);
   }
 
   private static int ticketCount(StreamingHttpRequest request) {
@@ -189,35 +196,36 @@
   }
 
   private Single<StreamingHttpResponse> readiness(
-      StreamingHttpRequest request, CallerResponses answers) {
+      StreamingHttpRequest request, CallerResponses responses) {
     boolean ready = node.phase() == Phase.READY;
     HttpResponseStatus status =
         ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
-    return text(request, answers, status, node.phase() + "\n");
+    return text(request, responses, status, node.phase() + "\n");
   }
 
   private Single<StreamingHttpResponse> status(
-      StreamingHttpRequest request, CallerResponses answers) {
+      StreamingHttpRequest request, CallerResponses responses) {
     checkMethod(request);
-    return Single.succeeded(answers.plain(HttpResponseStatus.OK, JSON, NodeStatusJson.write(node)));
+    return Single.succeeded(
+        responses.withBody(HttpResponseStatus.OK, JSON, NodeStatusJson.write(node)));
   }
 
   private static Single<StreamingHttpResponse> text(
       StreamingHttpRequest request,
-      CallerResponses answers,
+      CallerResponses responses,
       HttpResponseStatus status,
       String body) {
     checkMethod(request);
-    return Single.succeeded(answers.plain(status, TEXT, body));
+    return Single.succeeded(responses.withBody(status, TEXT, body));
   }
 
-  private static HttpRequestMethod allowedAt(String path) {
-    boolean takesPosts = path.endsWith("/completions") || path.equals(TICKETS_PATH);
-    return takesPosts ? HttpRequestMethod.POST : HttpRequestMethod.GET;
+  private static HttpRequestMethod allowedMethod(String path) {
+    boolean requiresPost = path.endsWith("/completions") || path.equals(TICKETS_PATH);
+    return requiresPost ? HttpRequestMethod.POST : HttpRequestMethod.GET;
   }
 
   private static void checkMethod(StreamingHttpRequest request) {
-    HttpRequestMethod allowed = allowedAt(request.path());
+    HttpRequestMethod allowed = allowedMethod(request.path());
     if (!request.method().equals(allowed)) {
       throw Refusal.before(
               Reason.METHOD_NOT_ALLOWED, request.method().name() + ", allowed: " + allowed.name())
@@ -233,7 +241,7 @@
     }
   }
 
-  /** Reads the body up to its bound; the answer's work goes on in the worker pool. */
+  /** Reads the body up to its maximum size and continues on the worker pool. */
   private Single<String> body(StreamingHttpRequest request) {
     return request
         .payloadBody()
--- a/vaneworks/src/main/java/org/vaneworks/transport/CompletionAnswer.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/CompletionResponse.java
@@ -16,29 +16,29 @@
 import org.vaneworks.state.Refusal;
 
 /**
- * Turns a completion's answer into an HTTP response, streamed or whole.
+ * Converts the tokens of a completion to an HTTP response, either streamed or as one document.
  *
- * <p>Calls never overlap, as {@link AnswerSink} says. A caller that stops reading holds at most
- * {@link #MAX_BUFFERED} tokens; past that its stream is cancelled.
+ * <p>Calls never overlap, as {@link AnswerSink} requires. At most {@link #MAX_BUFFERED_EVENTS}
+ * events are buffered for a caller that stops reading; the stream is cancelled beyond that.
  */
-final class CompletionAnswer implements AnswerSink {
-  private static final int MAX_BUFFERED = 4096;
+final class CompletionResponse implements AnswerSink {
+  private static final int MAX_BUFFERED_EVENTS = 4096;
 
   private final CallerResponses responses;
   private final boolean streamed;
   private final CompletableFuture<StreamingHttpResponse> response = new CompletableFuture<>();
   private final PublisherSource.Processor<Buffer, Buffer> events =
-      Processors.newPublisherProcessor(MAX_BUFFERED);
+      Processors.newPublisherProcessor(MAX_BUFFERED_EVENTS);
   private final List<String> tokens = new ArrayList<>();
   private final AtomicReference<Runnable> cancel = new AtomicReference<>(() -> {});
-  private boolean opened;
+  private boolean streamStarted;
 
-  CompletionAnswer(CallerResponses responses, boolean streamed) {
+  CompletionResponse(CallerResponses responses, boolean streamed) {
     this.responses = responses;
     this.streamed = streamed;
   }
 
-  /** Returns the response, which is there once the first token or the end is. */
+  /** Returns the response, which completes with the first token or at the end. */
   Single<StreamingHttpResponse> response(Runnable cancelStream) {
     cancel.set(cancelStream);
     return Single.fromStage(response).beforeCancel(cancelStream);
@@ -50,15 +50,15 @@
       tokens.add(text);
       return;
     }
-    open();
+    startStream();
     emit("data: " + CallerJson.writeChunk(responses.requestId(), text) + "\n\n");
   }
 
-  private void open() {
-    if (!opened) {
-      opened = true;
+  private void startStream() {
+    if (!streamStarted) {
+      streamStarted = true;
       response.complete(
-          responses.streamed(
+          responses.eventStream(
               SourceAdapters.fromSource(events).beforeCancel(() -> cancel.get().run())));
     }
   }
@@ -67,7 +67,7 @@
     try {
       events.onNext(responses.buffer(event));
     } catch (RuntimeException e) {
-      // The caller stopped reading and its buffer is full.
+      // The buffer is full because the caller stopped reading.
       cancel.get().run();
     }
   }
@@ -76,10 +76,10 @@
   public void complete() {
     if (!streamed) {
       String body = CallerJson.writeWhole(responses.requestId(), tokens);
-      response.complete(responses.plain(HttpResponseStatus.OK, "application/json", body));
+      response.complete(responses.withBody(HttpResponseStatus.OK, "application/json", body));
       return;
     }
-    open();
+    startStream();
     emit("data: " + CallerJson.writeLastChunk(responses.requestId()) + "\n\n");
     emit("data: [DONE]\n\n");
     events.onComplete();
@@ -87,11 +87,11 @@
 
   @Override
   public void failed(Refusal refusal) {
-    if (!opened) {
+    if (!streamStarted) {
       response.complete(responses.problem(refusal));
       return;
     }
-    // A cut answer must never look whole: an explicit event, and no end mark.
+    // An explicit error event without the end marker: a truncated response must not look complete.
     emit("event: error\ndata: " + CallerJson.writeProblem(refusal) + "\n\n");
     events.onComplete();
   }
--- a/vaneworks/src/main/java/org/vaneworks/transport/HttpBoxList.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/HttpBoxList.java
@@ -10,9 +10,9 @@
 import org.vaneworks.protocol.PlatformJson;
 import org.vaneworks.state.HostPort;
 
-/** The platform's box list over HTTP. Thread-safe. */
+/** Reads the platform's box list over HTTP. Thread-safe. */
 public final class HttpBoxList implements BoxList {
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(1);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
 
   private final HttpSender sender;
   private final HostPort address;
@@ -22,7 +22,7 @@
     this.address = checkNotNull(address);
   }
 
-  /** Returns the list at an address. */
+  /** Returns a reader of the list at the given address. */
   public static HttpBoxList at(HttpSender sender, HostPort address) {
     return new HttpBoxList(sender, address);
   }
@@ -30,7 +30,7 @@
   @Override
   public CompletableFuture<ImmutableList<Box>> boxes() {
     return sender
-        .get(address, PlatformJson.BOXES_PATH, CALL_LIMIT)
-        .thenApply(answer -> PlatformJson.readBoxes(answer.body()));
+        .get(address, PlatformJson.BOXES_PATH, CALL_TIMEOUT)
+        .thenApply(response -> PlatformJson.readBoxes(response.body()));
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/transport/HttpEndpointClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/HttpEndpointClient.java
@@ -22,34 +22,35 @@
 import org.vaneworks.state.NotRunProof;
 import org.vaneworks.state.Reason;
 import org.vaneworks.state.Refusal;
+import org.vaneworks.transport.HttpSender.Response;
 
-/** Endpoints over HTTP. Thread-safe. */
+/** Calls endpoints over HTTP. Thread-safe. */
 public final class HttpEndpointClient implements EndpointClient {
-  private static final Duration STATUS_LIMIT = Duration.ofSeconds(1);
-  private static final Duration END_LIMIT = Duration.ofSeconds(2);
+  private static final Duration STATUS_TIMEOUT = Duration.ofSeconds(1);
+  private static final Duration END_TIMEOUT = Duration.ofSeconds(2);
 
   private final HttpSender sender;
-  private final Duration stepLimit;
+  private final Duration stepTimeout;
 
-  private HttpEndpointClient(HttpSender sender, Duration stepLimit) {
+  private HttpEndpointClient(HttpSender sender, Duration stepTimeout) {
     this.sender = checkNotNull(sender);
-    this.stepLimit = checkNotNull(stepLimit);
+    this.stepTimeout = checkNotNull(stepTimeout);
   }
 
   /**
    * Returns a client.
    *
-   * @param stepLimit after which a call's connection is closed
+   * @param stepTimeout timeout of a call, after which its connection is closed
    */
-  public static HttpEndpointClient create(HttpSender sender, Duration stepLimit) {
-    return new HttpEndpointClient(sender, stepLimit);
+  public static HttpEndpointClient create(HttpSender sender, Duration stepTimeout) {
+    return new HttpEndpointClient(sender, stepTimeout);
   }
 
   @Override
   public CompletableFuture<EndpointStatus> status(HostPort address) {
     return Async.compose(
-        sender.get(address, EngineJson.STATUS_PATH, STATUS_LIMIT),
-        (answer, failure) -> parsed(answer, failure, EngineJson::readStatus));
+        sender.get(address, EngineJson.STATUS_PATH, STATUS_TIMEOUT),
+        (response, failure) -> parse(response, failure, EngineJson::readStatus));
   }
 
   @Override
@@ -61,8 +62,8 @@
   public CompletableFuture<Void> end(Endpoint endpoint, SessionId session) {
     String body = Json.write(EngineJson.writeSession(session));
     return sender
-        .post(endpoint.address(), EngineJson.END_PATH, body, END_LIMIT)
-        .thenAccept(answer -> {});
+        .post(endpoint.address(), EngineJson.END_PATH, body, END_TIMEOUT)
+        .thenAccept(response -> {});
   }
 
   @Override
@@ -83,7 +84,7 @@
     String target = EngineJson.CALL_PATH + call.path();
     HttpRequestMethod method = HttpRequestMethod.of(call.method(), methodProperties(call.method()));
     return Async.compose(
-        sender.send(endpoint.address(), method, target, call.body(), stepLimit),
+        sender.send(endpoint.address(), method, target, call.body(), stepTimeout),
         HttpEndpointClient::serviceReply);
   }
 
@@ -103,22 +104,22 @@
   }
 
   private <T> CompletableFuture<T> post(
-      Endpoint endpoint, String target, String body, Function<String, T> read) {
+      Endpoint endpoint, String target, String body, Function<String, T> parser) {
     return Async.compose(
-        sender.post(endpoint.address(), target, body, stepLimit),
-        (answer, failure) -> parsed(answer, failure, read));
+        sender.post(endpoint.address(), target, body, stepTimeout),
+        (response, failure) -> parse(response, failure, parser));
   }
 
-  private static <T> CompletableFuture<T> parsed(
-      HttpSender.Response answer, Throwable failure, Function<String, T> read) {
+  private static <T> CompletableFuture<T> parse(
+      Response response, Throwable failure, Function<String, T> parser) {
     if (failure != null) {
       return CompletableFuture.failedFuture(lost(failure).toException());
     }
-    if (!answer.isSuccess()) {
-      return CompletableFuture.failedFuture(refused(answer).toException());
+    if (!response.isSuccess()) {
+      return CompletableFuture.failedFuture(refused(response).toException());
     }
     try {
-      return CompletableFuture.completedFuture(read.apply(answer.body()));
+      return CompletableFuture.completedFuture(parser.apply(response.body()));
     } catch (IllegalArgumentException e) {
       return CompletableFuture.failedFuture(
           Refusal.mayHaveRun(Reason.ENDPOINT_LOST, "the answer can't be read: " + e.getMessage())
@@ -126,17 +127,20 @@
     }
   }
 
-  /** A service's own error answers are answers; only its word that it refused is a refusal. */
+  /**
+   * Passes on a service's response, including error statuses; only a response with the refusal
+   * header counts as a refusal.
+   */
   private static CompletableFuture<ServiceReply> serviceReply(
-      HttpSender.Response answer, Throwable failure) {
+      Response response, Throwable failure) {
     if (failure != null) {
       return CompletableFuture.failedFuture(lost(failure).toException());
     }
-    if (!answer.refused().isEmpty()) {
-      return CompletableFuture.failedFuture(refused(answer).toException());
+    if (!response.refusalHeader().isEmpty()) {
+      return CompletableFuture.failedFuture(refused(response).toException());
     }
     return CompletableFuture.completedFuture(
-        new ServiceReply(answer.status(), answer.contentType(), answer.body()));
+        new ServiceReply(response.status(), response.contentType(), response.body()));
   }
 
   private static Refusal lost(Throwable failure) {
@@ -146,13 +150,13 @@
         : Refusal.mayHaveRun(Reason.ENDPOINT_LOST, detail);
   }
 
-  private static Refusal refused(HttpSender.Response answer) {
-    String detail = "the endpoint answered " + answer.status() + " " + answer.refused();
-    if (answer.refused().isEmpty()) {
+  private static Refusal refused(Response response) {
+    String detail = "the endpoint answered " + response.status() + " " + response.refusalHeader();
+    if (response.refusalHeader().isEmpty()) {
       return Refusal.mayHaveRun(Reason.ENDPOINT_LOST, detail);
     }
     Reason reason =
-        answer.refused().equals(EngineJson.OVERLOADED)
+        response.refusalHeader().equals(EngineJson.OVERLOADED)
             ? Reason.ENDPOINT_OVERLOADED
             : Reason.ENDPOINT_LOST;
     return Refusal.notRun(NotRunProof.ENDPOINT_REFUSED, reason, detail);
--- a/vaneworks/src/main/java/org/vaneworks/transport/HttpPlatformStore.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/HttpPlatformStore.java
@@ -14,10 +14,11 @@
 import org.vaneworks.coordination.store.StorePurpose;
 import org.vaneworks.protocol.PlatformJson;
 import org.vaneworks.state.HostPort;
+import org.vaneworks.transport.HttpSender.Response;
 
-/** The platform's store over HTTP. Thread-safe. */
+/** Accesses the platform's store over HTTP. Thread-safe. */
 public final class HttpPlatformStore implements PlatformStore {
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(2);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
   private static final int NOT_FOUND = 404;
   private static final int CONFLICT = 409;
   private static final int NO_CONTENT = 204;
@@ -30,7 +31,7 @@
     this.address = checkNotNull(address);
   }
 
-  /** Returns the store at an address. */
+  /** Returns the store at the given address. */
   public static HttpPlatformStore at(HttpSender sender, HostPort address) {
     return new HttpPlatformStore(sender, address);
   }
@@ -39,8 +40,8 @@
   public CompletableFuture<Optional<StoreEntry>> read(String key, StorePurpose purpose) {
     String target = PlatformJson.READ_PATH + "?key=" + encode(key);
     return Async.compose(
-        sender.get(address, target, CALL_LIMIT),
-        (answer, failure) -> entry(answer, failure, NOT_FOUND));
+        sender.get(address, target, CALL_TIMEOUT),
+        (response, failure) -> readEntry(response, failure, NOT_FOUND));
   }
 
   @Override
@@ -55,22 +56,22 @@
             + "&waitMs="
             + wait.toMillis();
     return Async.compose(
-        sender.get(address, target, wait.plus(CALL_LIMIT)),
-        (answer, failure) -> entry(answer, failure, NO_CONTENT));
+        sender.get(address, target, wait.plus(CALL_TIMEOUT)),
+        (response, failure) -> readEntry(response, failure, NO_CONTENT));
   }
 
-  private static CompletableFuture<Optional<StoreEntry>> entry(
-      HttpSender.Response answer, Throwable failure, int statusOfNone) {
+  private static CompletableFuture<Optional<StoreEntry>> readEntry(
+      Response response, Throwable failure, int emptyStatus) {
     if (failure != null) {
       return failed(StoreException.withoutEffect("the store did not answer: " + failure));
     }
-    if (answer.status() == statusOfNone) {
+    if (response.status() == emptyStatus) {
       return CompletableFuture.completedFuture(Optional.empty());
     }
-    if (!answer.isSuccess()) {
-      return failed(StoreException.withoutEffect("the store answered " + answer.status()));
+    if (!response.isSuccess()) {
+      return failed(StoreException.withoutEffect("the store answered " + response.status()));
     }
-    return CompletableFuture.completedFuture(Optional.of(PlatformJson.readEntry(answer.body())));
+    return CompletableFuture.completedFuture(Optional.of(PlatformJson.readEntry(response.body())));
   }
 
   @Override
@@ -78,11 +79,12 @@
       String key, long expectedRevision, String value, StorePurpose purpose) {
     String body = PlatformJson.writeSwap(key, expectedRevision, value);
     return Async.compose(
-        sender.post(address, PlatformJson.SWAP_PATH, body, CALL_LIMIT), HttpPlatformStore::swapped);
+        sender.post(address, PlatformJson.SWAP_PATH, body, CALL_TIMEOUT),
+        HttpPlatformStore::readSwapResult);
   }
 
-  private static CompletableFuture<Optional<Long>> swapped(
-      HttpSender.Response answer, Throwable failure) {
+  private static CompletableFuture<Optional<Long>> readSwapResult(
+      Response response, Throwable failure) {
     if (failure != null) {
       String message = "the store did not answer: " + failure;
       return failed(
@@ -90,13 +92,14 @@
               ? StoreException.withoutEffect(message)
               : StoreException.unknownEffect(message));
     }
-    if (answer.status() == CONFLICT) {
+    if (response.status() == CONFLICT) {
       return CompletableFuture.completedFuture(Optional.empty());
     }
-    if (!answer.isSuccess()) {
-      return failed(StoreException.unknownEffect("the store answered " + answer.status()));
+    if (!response.isSuccess()) {
+      return failed(StoreException.unknownEffect("the store answered " + response.status()));
     }
-    return CompletableFuture.completedFuture(Optional.of(PlatformJson.readRevision(answer.body())));
+    return CompletableFuture.completedFuture(
+        Optional.of(PlatformJson.readRevision(response.body())));
   }
 
   private static <T> CompletableFuture<T> failed(StoreException failure) {
--- a/vaneworks/src/main/java/org/vaneworks/transport/HttpSender.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/HttpSender.java
@@ -28,18 +28,18 @@
 /**
  * Sends HTTP requests, each at most once, over pooled connections.
  *
- * <p>ServiceTalk's own retries are switched off: whether to send again is decided in one place,
- * {@code coordination}. Thread-safe.
+ * <p>ServiceTalk's own retries are disabled: all retries are decided in {@code coordination}.
+ * Thread-safe.
  */
 public final class HttpSender implements AutoCloseable {
   private static final String JSON = "application/json";
 
-  /** Long enough for one lost packet of the handshake, which is sent again after a second. */
+  /** Allows for one lost packet of the handshake, which is retransmitted after a second. */
   private static final int CONNECT_TIMEOUT_MILLIS = 1500;
 
   private final Executor executor;
   private final Optional<IoExecutor> io;
-  private final Map<HostPort, CountedClient<HttpClient>> clients = new ConcurrentHashMap<>();
+  private final Map<HostPort, RefCountedClient<HttpClient>> clients = new ConcurrentHashMap<>();
 
   private HttpSender(Executor executor, Optional<IoExecutor> io) {
     this.executor = checkNotNull(executor);
@@ -49,51 +49,52 @@
   /**
    * Returns a sender without connections.
    *
-   * @param executor worker pool, timers and clock
+   * @param executor the worker pool, which also provides timers and the clock
    */
   public static HttpSender create(Executor executor) {
     return new HttpSender(executor, Optional.empty());
   }
 
   /**
-   * Returns a sender without connections that does all its work on one event loop.
+   * Returns a sender without connections that runs on one event loop.
    *
-   * @param io the event loop, its timers and clock
+   * @param io the event loop, which also provides timers and the clock
    */
   public static HttpSender onEventLoop(IoExecutor io) {
     return new HttpSender(io, Optional.of(io));
   }
 
   /**
-   * An answer.
+   * An HTTP response.
    *
-   * @param refused the endpoint's refusal header, empty if absent
-   * @param headers all of its headers
+   * @param refusalHeader value of the endpoint's refusal header; empty if absent
+   * @param headers all headers of the response
    */
   public record Response(
-      int status, String body, String contentType, String refused, HttpHeaders headers) {
-    /** Returns whether the status is one of success. */
+      int status, String body, String contentType, String refusalHeader, HttpHeaders headers) {
+    /** Returns whether the status is 2xx. */
     public boolean isSuccess() {
       return status >= 200 && status < 300;
     }
   }
 
   /** Sends a GET. */
-  public CompletableFuture<HttpSender.Response> get(HostPort to, String target, Duration limit) {
-    return send(to, HttpRequestMethod.GET, target, "", limit);
+  public CompletableFuture<Response> get(HostPort to, String target, Duration timeout) {
+    return send(to, HttpRequestMethod.GET, target, "", timeout);
   }
 
   /** Sends a POST with a JSON body. */
-  public CompletableFuture<HttpSender.Response> post(
-      HostPort to, String target, String body, Duration limit) {
-    return send(to, HttpRequestMethod.POST, target, body, limit);
+  public CompletableFuture<Response> post(
+      HostPort to, String target, String body, Duration timeout) {
+    return send(to, HttpRequestMethod.POST, target, body, timeout);
   }
 
-  /** Sends a request; a failed future carries what ServiceTalk said. */
-  public CompletableFuture<HttpSender.Response> send(
-      HostPort to, HttpRequestMethod method, String target, String body, Duration limit) {
-    CountedClient<HttpClient> counted = clients.computeIfAbsent(to, this::connect);
-    HttpClient client = counted.callBegins();
+  /** Sends a request; if it fails, the future fails with ServiceTalk's exception. */
+  public CompletableFuture<Response> send(
+      HostPort to, HttpRequestMethod method, String target, String body, Duration timeout) {
+    RefCountedClient<HttpClient> refCounted =
+        clients.computeIfAbsent(to, this::newRefCountedClient);
+    HttpClient client = refCounted.acquire();
     HttpRequest request = client.newRequest(method, target);
     if (!body.isEmpty()) {
       BufferAllocator allocator = client.executionContext().bufferAllocator();
@@ -102,54 +103,54 @@
     }
     return client
         .request(request)
-        .timeout(limit, executor)
-        .whenFinally(counted::callOver)
-        .map(HttpSender::answer)
+        .timeout(timeout, executor)
+        .whenFinally(refCounted::release)
+        .map(HttpSender::readResponse)
         .toCompletionStage()
         .toCompletableFuture();
   }
 
-  private static HttpSender.Response answer(HttpResponse response) {
-    CharSequence type = response.headers().get(HttpHeaderNames.CONTENT_TYPE, JSON);
-    CharSequence refused = response.headers().get(EngineJson.REFUSED_HEADER, "");
-    return new HttpSender.Response(
+  private static Response readResponse(HttpResponse response) {
+    CharSequence contentType = response.headers().get(HttpHeaderNames.CONTENT_TYPE, JSON);
+    CharSequence refusal = response.headers().get(EngineJson.REFUSED_HEADER, "");
+    return new Response(
         response.status().code(),
         response.payloadBody().toString(UTF_8),
-        type.toString(),
-        refused.toString(),
+        contentType.toString(),
+        refusal.toString(),
         response.headers());
   }
 
-  private CountedClient<HttpClient> connect(HostPort to) {
-    return CountedClient.of(clientOf(to));
+  private RefCountedClient<HttpClient> newRefCountedClient(HostPort to) {
+    return RefCountedClient.of(newClient(to));
   }
 
-  private HttpClient clientOf(HostPort to) {
+  private HttpClient newClient(HostPort to) {
     var builder = HttpClients.forResolvedAddress(to.host(), to.port());
     io.ifPresent(builder::ioExecutor);
     return builder
         .executor(executor)
-        .loadBalancerFactory(SingleAddress.alwaysTried())
+        .loadBalancerFactory(SingleAddressLoadBalancer.withoutOutlierDetection())
         .socketOption(ServiceTalkSocketOptions.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MILLIS)
         .executionStrategy(HttpExecutionStrategies.offloadNone())
         .appendClientFilter(RetryingHttpRequesterFilter.disableAllRetries())
         .build();
   }
 
-  /** Closes connections to an address that is no longer used, once their calls are done. */
+  /** Closes the connections to an address once the calls in progress have ended. */
   public void closeConnections(HostPort address) {
-    CountedClient<HttpClient> client = clients.remove(address);
+    RefCountedClient<HttpClient> client = clients.remove(address);
     if (client != null) {
-      client.forget();
+      client.closeWhenIdle();
     }
   }
 
   @Override
   public void close() {
-    Completable all = Completable.completed();
-    for (CountedClient<HttpClient> counted : clients.values()) {
-      all = all.merge(counted.client().closeAsync());
+    Completable closing = Completable.completed();
+    for (RefCountedClient<HttpClient> refCounted : clients.values()) {
+      closing = closing.merge(refCounted.client().closeAsync());
     }
-    all.subscribe();
+    closing.subscribe();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/transport/NodeStatusClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/NodeStatusClient.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.CompletableFuture;
 import org.vaneworks.state.HostPort;
 
-/** Asks nodes for what they tell operators of themselves. Thread-safe. */
+/** Reads the status documents of nodes. Thread-safe. */
 public final class NodeStatusClient {
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(2);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
   private final HttpSender sender;
 
@@ -22,12 +22,12 @@
   }
 
   /**
-   * Asks a node.
+   * Requests the status of a node.
    *
    * @param callers the node's address for callers
-   * @return the document of {@code /status}; fails if the node does not answer
+   * @return the document at {@code /status}; the future fails if the node does not respond
    */
   public CompletableFuture<String> status(HostPort callers) {
-    return sender.get(callers, "/status", CALL_LIMIT).thenApply(HttpSender.Response::body);
+    return sender.get(callers, "/status", CALL_TIMEOUT).thenApply(HttpSender.Response::body);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/transport/NodeStatusJson.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/NodeStatusJson.java
@@ -7,7 +7,7 @@
 import org.vaneworks.coordination.membership.Member;
 import org.vaneworks.protocol.Json;
 
-/** What a node tells operators of itself. */
+/** Writes a node's status document for operators. */
 final class NodeStatusJson {
   private NodeStatusJson() {}
 
--- a/vaneworks/src/main/java/org/vaneworks/transport/PeerClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/PeerClient.java
@@ -31,13 +31,14 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * Sends requests to peers over one connection for each.
+ * Sends requests to peers over one connection per peer.
  *
- * <p>A connection that is idle is closed, so that their number follows the traffic. Thread-safe.
+ * <p>Idle connections are closed, so the number of open connections follows the traffic.
+ * Thread-safe.
  */
 public final class PeerClient implements PeerLink {
-  private static final int CONNECT_MILLIS = 400;
-  private static final int IDLE_SECONDS = 60;
+  private static final int CONNECT_TIMEOUT_MILLIS = 400;
+  private static final int IDLE_TIMEOUT_SECONDS = 60;
 
   private final EventLoopGroup loop;
   private final Executor executor;
@@ -56,13 +57,15 @@
   }
 
   @Override
-  public CompletableFuture<PeerMessage> ask(HostPort peer, PeerMessage request, Duration limit) {
+  public CompletableFuture<PeerMessage> ask(HostPort peer, PeerMessage request, Duration timeout) {
     counters.count(Metric.PEER_MESSAGES, request.getClass().getSimpleName() + "-out");
     Connection connection =
         connections.compute(
-            peer, (address, known) -> known == null || known.isClosed() ? open(address) : known);
-    PeerException late = PeerException.unanswered(peer + " did not reply in " + limit);
-    return Async.within(executor, limit, connection.ask(request), late);
+            peer,
+            (address, existing) ->
+                existing == null || existing.isClosed() ? open(address) : existing);
+    PeerException timeoutFailure = PeerException.unanswered(peer + " did not reply in " + timeout);
+    return Async.within(executor, timeout, connection.ask(request), timeoutFailure);
   }
 
   private Connection open(HostPort peer) {
@@ -71,7 +74,7 @@
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .handler(
                 new ChannelInitializer<SocketChannel>() {
                   @Override
@@ -79,43 +82,44 @@
                     PeerFrames.addTo(channel.pipeline(), counters);
                     channel
                         .pipeline()
-                        .addLast(new IdleStateHandler(0, 0, IDLE_SECONDS))
+                        .addLast(new IdleStateHandler(0, 0, IDLE_TIMEOUT_SECONDS))
                         .addLast(connection);
                   }
                 });
-    connection.opening = bootstrap.connect(new InetSocketAddress(peer.host(), peer.port()));
+    connection.connectFuture = bootstrap.connect(new InetSocketAddress(peer.host(), peer.port()));
     return connection;
   }
 
   private static final class Connection extends SimpleChannelInboundHandler<byte[]> {
-    private final Map<Long, CompletableFuture<PeerMessage>> waiting = new ConcurrentHashMap<>();
+    private final Map<Long, CompletableFuture<PeerMessage>> pending = new ConcurrentHashMap<>();
     private final AtomicLong sequence = new AtomicLong();
-    private volatile ChannelFuture opening;
+    private volatile ChannelFuture connectFuture;
     private volatile boolean closed;
 
     boolean isClosed() {
-      return closed || (opening != null && opening.isDone() && !opening.isSuccess());
+      return closed
+          || (connectFuture != null && connectFuture.isDone() && !connectFuture.isSuccess());
     }
 
     CompletableFuture<PeerMessage> ask(PeerMessage request) {
       long id = sequence.incrementAndGet();
       CompletableFuture<PeerMessage> reply = new CompletableFuture<>();
-      opening.addListener(
+      connectFuture.addListener(
           connected -> {
             if (!connected.isSuccess()) {
               reply.completeExceptionally(PeerException.notSent(String.valueOf(connected.cause())));
               return;
             }
-            send(opening.channel(), id, request, reply);
+            send(connectFuture.channel(), id, request, reply);
           });
       return reply;
     }
 
     private void send(
         Channel channel, long id, PeerMessage request, CompletableFuture<PeerMessage> reply) {
-      waiting.put(id, reply);
+      pending.put(id, reply);
       if (closed) {
-        breakAll();
+        failAll();
         return;
       }
       channel
@@ -129,15 +133,15 @@
     }
 
     private void fail(long id, PeerException failure) {
-      CompletableFuture<PeerMessage> reply = waiting.remove(id);
+      CompletableFuture<PeerMessage> reply = pending.remove(id);
       if (reply != null) {
         reply.completeExceptionally(failure);
       }
     }
 
-    private void breakAll() {
+    private void failAll() {
       closed = true;
-      for (Long id : waiting.keySet()) {
+      for (Long id : pending.keySet()) {
         fail(id, PeerException.unanswered("the connection broke"));
       }
     }
@@ -145,15 +149,15 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, byte[] frame) {
       PeerCodec.Numbered reply = PeerCodec.decode(frame);
-      CompletableFuture<PeerMessage> asked = waiting.remove(reply.id());
-      if (asked != null) {
-        asked.complete(reply.message());
+      CompletableFuture<PeerMessage> pendingReply = pending.remove(reply.id());
+      if (pendingReply != null) {
+        pendingReply.complete(reply.message());
       }
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) throws Exception {
-      if (event instanceof IdleStateEvent && waiting.isEmpty()) {
+      if (event instanceof IdleStateEvent && pending.isEmpty()) {
         closed = true;
         ChannelFuture unused = context.close();
         return;
@@ -163,7 +167,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      breakAll();
+      failAll();
     }
 
     @Override
--- a/vaneworks/src/main/java/org/vaneworks/transport/PeerFrames.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/PeerFrames.java
@@ -12,17 +12,18 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.telemetry.Metric;
 
-/** Frames on connections between peers: four bytes of length, then the message. */
+/** Framing of peer connections: a four-byte length, followed by the message. */
 final class PeerFrames {
   private static final int LENGTH_BYTES = 4;
-  private static final int MAX_FRAME = 8 << 20;
+  private static final int MAX_FRAME_BYTES = 8 << 20;
 
   private PeerFrames() {}
 
   static void addTo(ChannelPipeline pipeline, Counters counters) {
     pipeline
         .addLast(new ByteCounter(counters))
-        .addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
+        .addLast(
+            new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
         .addLast(new LengthFieldPrepender(LENGTH_BYTES))
         .addLast(new ByteArrayDecoder())
         .addLast(new ByteArrayEncoder());
--- a/vaneworks/src/main/java/org/vaneworks/transport/PeerServer.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/PeerServer.java
@@ -20,7 +20,7 @@
 import org.vaneworks.telemetry.Counters;
 import org.vaneworks.telemetry.Metric;
 
-/** Listens for peers. */
+/** Server for requests of peers. */
 public final class PeerServer implements AutoCloseable {
   private final Channel channel;
 
@@ -29,9 +29,9 @@
   }
 
   /**
-   * Listens.
+   * Binds the server.
    *
-   * @param handler serves a request; runs on the executor
+   * @param handler handles a request; runs on the executor
    */
   public static PeerServer listen(
       HostPort address,
@@ -59,7 +59,7 @@
     return new PeerServer(channel);
   }
 
-  /** Returns where peers are listened to. */
+  /** Returns the address that the server is bound to. */
   public HostPort address() {
     InetSocketAddress local = (InetSocketAddress) channel.localAddress();
     return new HostPort(local.getAddress().getHostAddress(), local.getPort());
@@ -94,14 +94,14 @@
                   handler.apply(request.message()),
                   executor,
                   (reply, failure) -> {
-                    PeerMessage answer =
+                    PeerMessage response =
                         failure == null ? reply : new PeerMessage.Failed(failure.toString());
                     ChannelFuture unused =
-                        context.writeAndFlush(PeerCodec.encode(request.id(), answer));
+                        context.writeAndFlush(PeerCodec.encode(request.id(), response));
                   }));
     }
 
-    /** What can't be read is a fault of the peer; its connection is not worth keeping. */
+    /** Closes the connection of a peer that sent an unreadable frame. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       ChannelFuture unused = context.close();
--- /dev/null
+++ b/vaneworks/src/main/java/org/vaneworks/transport/RefCountedClient.java
@@ -0,0 +1,55 @@
+package org.vaneworks.transport;
+
+import static com.google.common.base.Preconditions.checkNotNull;
+
+import io.servicetalk.concurrent.api.AsyncCloseable;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/**
+ * A reference-counted client that closes its connections once it was released by its owner and all
+ * calls have ended.
+ *
+ * <p>ServiceTalk's graceful close waits for calls that have a connection, but fails calls whose
+ * connection is still being established. Thread-safe.
+ */
+public final class RefCountedClient<C extends AsyncCloseable> {
+  private final C client;
+
+  /** Number of calls in progress, plus one until {@link #closeWhenIdle} is called. */
+  private final AtomicInteger references = new AtomicInteger(1);
+
+  private RefCountedClient(C client) {
+    this.client = checkNotNull(client);
+  }
+
+  /** Wraps a client that has no calls in progress. */
+  public static <C extends AsyncCloseable> RefCountedClient<C> of(C client) {
+    return new RefCountedClient<>(client);
+  }
+
+  /** Returns the client for a call, which must call {@link #release} exactly once when it ends. */
+  public C acquire() {
+    references.incrementAndGet();
+    return client;
+  }
+
+  /** Records the end of a call, whether it succeeded or not. */
+  public void release() {
+    if (references.decrementAndGet() == 0) {
+      client.closeAsyncGracefully().subscribe();
+    }
+  }
+
+  /**
+   * Closes the connections once no call is in progress. Must be called at most once, and {@link
+   * #acquire} must not be called afterwards.
+   */
+  public void closeWhenIdle() {
+    release();
+  }
+
+  /** Returns the client without counting a call, so that it can be closed immediately. */
+  public C client() {
+    return client;
+  }
+}
--- a/vaneworks/src/main/java/org/vaneworks/transport/SendFailures.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/SendFailures.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.vaneworks.coordination.concurrent.Async;
 
-/** Tells from a failure whether any byte of its request left this node. */
+/** Classifies failures of requests by whether any byte of the request was sent. */
 public final class SendFailures {
   private SendFailures() {}
 
-  /** Returns whether the failure shows that no byte of the request was written. */
+  /** Returns whether the failure proves that no byte of the request was written. */
   public static boolean neverSent(Throwable failure) {
     Throwable cause = Async.causeOf(failure);
     return cause instanceof ConnectException
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Returns whether the failure shows that the other box is up and refused the connection; a
-   * connection that came to nothing in time shows no such thing.
+   * Returns whether the failure proves that the remote box is up and refused the connection. A
+   * connect timeout proves nothing of the kind.
    */
   public static boolean connectionRefused(Throwable failure) {
     List<Throwable> chain = Throwables.getCausalChain(failure);
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/BodyCollector.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/BodyCollector.java
@@ -3,7 +3,7 @@
 import io.servicetalk.buffer.api.Buffer;
 import io.servicetalk.buffer.api.BufferAllocator;
 
-/** Collects a request's body; past the limit it only counts. */
+/** Collects a request's body; discards the bytes and only counts them once past the limit. */
 final class BodyCollector {
   private final BufferAllocator allocator;
   private final int maxBytes;
@@ -17,7 +17,7 @@
 
   static BodyCollector add(BodyCollector collector, Buffer part) {
     collector.bytes += part.readableBytes();
-    if (collector.overLimit()) {
+    if (collector.isOverLimit()) {
       collector.body = null;
     } else if (collector.body == null) {
       collector.body = collector.allocator.newBuffer(part.readableBytes()).writeBytes(part);
@@ -27,7 +27,7 @@
     return collector;
   }
 
-  boolean overLimit() {
+  boolean isOverLimit() {
     return bytes > maxBytes;
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/CallerConnection.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/CallerConnection.java
@@ -27,273 +27,288 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * Watches one caller's connection beside ServiceTalk: a caller that leaves, input that is no HTTP,
- * heads that are too large or too slow, and idle time.
+ * Channel handler that complements ServiceTalk's handling of a caller connection: detects
+ * disconnected callers, malformed HTTP, request heads that are too large or too slow, and idle
+ * connections.
  *
- * <p>ServiceTalk resets a connection whose input it can't decode, and lets one whose input has
- * ended finish its answer; callers are owed a status for the first, and have left in the second.
- * Confined to the channel's event loop.
+ * <p>ServiceTalk resets a connection whose input it can't decode, but callers must receive a status
+ * code first. ServiceTalk also completes the response on a connection whose input was shut down,
+ * although the caller has disconnected. Confined to the channel's event loop.
  */
-final class CallerConnection extends ChannelDuplexHandler implements EntryAnswer.Connection {
-  private static final String NAME = "caller-connection";
-  private static final String ERRORS = "caller-errors";
+final class CallerConnection extends ChannelDuplexHandler
+    implements EntryResponse.ConnectionListener {
+  private static final String HANDLER_NAME = "caller-connection";
+  private static final String ERROR_HANDLER_NAME = "caller-errors";
 
   /**
-   * How often a connection at rest is looked at: a changed idle limit holds within this time. Few
-   * rests last longer, and a wake costs more than what it does.
+   * Maximum interval between checks of an idle connection; a changed idle timeout takes effect
+   * within this time. Few idle periods last longer, and the timer costs more than the check itself.
    */
-  private static final Duration LOOK_AT_REST = Duration.ofSeconds(5);
+  private static final Duration IDLE_CHECK_INTERVAL = Duration.ofSeconds(5);
 
-  /** How often one is looked at whose caller has yet to take bytes that are held. */
-  private static final Duration LOOK_WHILE_HELD = Duration.ofSeconds(1);
+  /** Interval between checks of a connection with bytes that the caller has not read yet. */
+  private static final Duration UNSENT_CHECK_INTERVAL = Duration.ofSeconds(1);
 
   /**
-   * A caller that takes none of the bytes held for it within this time is given up. It bounds how
-   * long they are kept; how many is bounded by {@link AnswerBody} and the channel's own marks.
+   * Time without any progress after which a connection with unsent bytes is closed. It bounds how
+   * long the bytes are buffered; their number is bounded by {@link ResponseBody} and the channel's
+   * write buffer watermarks.
    */
-  @VisibleForTesting static final Duration STALL_LIMIT = Duration.ofSeconds(30);
+  @VisibleForTesting static final Duration STALL_TIMEOUT = Duration.ofSeconds(30);
 
-  private static final ConnectionAnswer NONE =
-      new ConnectionAnswer() {
+  private static final PendingResponse NO_RESPONSE =
+      new PendingResponse() {
         @Override
-        public void callerGone() {}
+        public void callerDisconnected() {}
 
         @Override
-        public boolean isPassedOn() {
+        public boolean isTerminated() {
           return true;
         }
 
         @Override
-        public long heldBytes() {
+        public long bufferedBytes() {
           return 0;
         }
       };
 
   private final Supplier<EntryLimits> limits;
   private final Counters counters;
-  private final CallerConnections all;
+  private final CallerConnections openConnections;
   private ChannelHandlerContext context;
   private ScheduledFuture<?> timer;
-  private ConnectionAnswer answer = NONE;
-  private boolean closes;
-  private boolean answering;
-  private boolean heldBefore;
-  private long heldBytesBefore;
+  private PendingResponse response = NO_RESPONSE;
+  private boolean closeCounted;
+  private boolean requestInProgress;
+  private boolean wasActive;
+  private long previousUnsentBytes;
   private long stalledNanos;
-  private long restedNanos;
-  private boolean lastAnswer;
-  private boolean headBegan;
-  private boolean lineEnded;
+  private long idleNanos;
+  private boolean lastResponse;
+  private boolean headStarted;
+  private boolean startLineEnded;
   private boolean rejected;
   private long headBytes;
-  private long lineBytes;
+  private long startLineBytes;
 
-  private CallerConnection(Supplier<EntryLimits> limits, Counters counters, CallerConnections all) {
+  private CallerConnection(
+      Supplier<EntryLimits> limits, Counters counters, CallerConnections openConnections) {
     this.limits = checkNotNull(limits);
     this.counters = checkNotNull(counters);
-    this.all = checkNotNull(all);
+    this.openConnections = checkNotNull(openConnections);
   }
 
-  /** Begins to watch a connection that was just accepted. */
+  /** Adds a handler to the pipeline of a connection that was just accepted. */
   static void install(
-      Channel channel, Supplier<EntryLimits> limits, Counters counters, CallerConnections all) {
-    CallerConnection watcher = new CallerConnection(limits, counters, all);
+      Channel channel,
+      Supplier<EntryLimits> limits,
+      Counters counters,
+      CallerConnections openConnections) {
+    CallerConnection handler = new CallerConnection(limits, counters, openConnections);
     ChannelPipeline pipeline = channel.pipeline();
-    // Before the last handler but the tail, which is ServiceTalk's and would reset the connection.
+    // Placed before ServiceTalk's last handler, which would reset the connection. The last name in
+    // the list is the pipeline's tail.
     String last = pipeline.names().get(pipeline.names().size() - 2);
-    pipeline.addBefore(last, ERRORS, watcher.new Errors());
-    pipeline.addFirst(NAME, watcher);
+    pipeline.addBefore(last, ERROR_HANDLER_NAME, handler.new DecoderErrorHandler());
+    pipeline.addFirst(HANDLER_NAME, handler);
   }
 
-  /** Returns the watcher of a connection. */
+  /** Returns the handler that was installed in a channel. */
   static CallerConnection of(Channel channel) {
-    return (CallerConnection) channel.pipeline().get(NAME);
+    return (CallerConnection) channel.pipeline().get(HANDLER_NAME);
   }
 
   @Override
   public void handlerAdded(ChannelHandlerContext added) {
     context = added;
     if (added.channel().isActive()) {
-      all.opened(this);
+      openConnections.opened(this);
     }
-    waitForNext();
+    awaitNextRequest();
   }
 
-  /** Takes note that a request's head was read; tells its answer if the caller leaves. */
-  void requestBegan(ConnectionAnswer begun) {
-    answering = true;
-    headBegan = false;
-    answer = begun;
+  /** Records that a request head was read; the response is notified if the caller disconnects. */
+  void requestStarted(PendingResponse started) {
+    requestInProgress = true;
+    headStarted = false;
+    response = started;
     timer.cancel(false);
   }
 
   @Override
-  public void requestEnded(ConnectionAnswer ended) {
-    // The next request of a caller who asks ahead begins with the last byte of this answer.
-    if (ended == answer) {
-      answering = false;
-      waitForNext();
+  public void requestEnded(PendingResponse ended) {
+    // With pipelining, the next request may have started before this response ended.
+    if (ended == response) {
+      requestInProgress = false;
+      awaitNextRequest();
     }
   }
 
   @Override
-  public void closesAfterAnswer() {
-    lastAnswer = true;
+  public void closesAfterResponse() {
+    lastResponse = true;
   }
 
   @Override
-  public void isCut() {
-    note(CloseReason.CUT);
+  public void aborted() {
+    countClose(CloseReason.ABORTED);
   }
 
-  /** The first cause counts: what follows it is its consequence. */
-  private void note(CloseReason reason) {
-    if (!closes) {
-      closes = true;
+  /** Counts only the first reason, because later ones are its consequences. */
+  private void countClose(CloseReason reason) {
+    if (!closeCounted) {
+      closeCounted = true;
       counters.count(Metric.CALLER_CLOSES, reason.code());
     }
   }
 
-  private void noteCallerLeft() {
-    if (isAnswering()) {
-      note(CloseReason.CALLER_LEFT_ANSWER);
+  private void countCloseByCaller() {
+    if (isActive()) {
+      countClose(CloseReason.DISCONNECTED_DURING_RESPONSE);
     } else {
-      note(lastAnswer ? CloseReason.LAST_ANSWER : CloseReason.CALLER_LEFT);
+      countClose(lastResponse ? CloseReason.LAST_RESPONSE : CloseReason.DISCONNECTED);
     }
   }
 
-  private void noteClosedHere() {
-    // As ServiceTalk closes with the last byte, that byte still counts as waiting.
-    ChannelOutboundBuffer waiting = context.channel().unsafe().outboundBuffer();
-    boolean held = waiting != null && !waiting.isEmpty();
-    if (held || !answer.isPassedOn()) {
-      note(CloseReason.CUT);
+  private void countCloseByNode() {
+    // ServiceTalk closes with the write of the last byte, which totalPendingWriteBytes() still
+    // includes at that time.
+    ChannelOutboundBuffer pending = context.channel().unsafe().outboundBuffer();
+    boolean hasUnwritten = pending != null && !pending.isEmpty();
+    if (hasUnwritten || !response.isTerminated()) {
+      countClose(CloseReason.ABORTED);
     } else {
-      note(lastAnswer ? CloseReason.LAST_ANSWER : CloseReason.BETWEEN_ANSWERS);
+      countClose(lastResponse ? CloseReason.LAST_RESPONSE : CloseReason.BETWEEN_RESPONSES);
     }
   }
 
-  /** Returns whether an answer is under way, the part included that waits to be written. */
-  boolean isAnswering() {
-    return answering || !answer.isPassedOn() || unwritten() > 0;
+  /**
+   * Returns whether a request or response is in progress, including bytes that were not written to
+   * the socket yet.
+   */
+  boolean isActive() {
+    return requestInProgress || !response.isTerminated() || unwrittenBytes() > 0;
   }
 
-  /** Returns how many bytes wait in the channel. */
-  private long unwritten() {
-    ChannelOutboundBuffer waiting = context.channel().unsafe().outboundBuffer();
-    // A closed channel has none.
-    return waiting == null ? 0 : waiting.totalPendingWriteBytes() - waiting.currentProgress();
+  /** Returns the number of bytes that are pending in the channel. */
+  private long unwrittenBytes() {
+    ChannelOutboundBuffer pending = context.channel().unsafe().outboundBuffer();
+    // A closed channel has no outbound buffer.
+    return pending == null ? 0 : pending.totalPendingWriteBytes() - pending.currentProgress();
   }
 
-  private void waitForNext() {
-    headBegan = false;
+  private void awaitNextRequest() {
+    headStarted = false;
     headBytes = 0;
-    lineBytes = 0;
-    lineEnded = false;
-    restedNanos = 0;
+    startLineBytes = 0;
+    startLineEnded = false;
+    idleNanos = 0;
     stalledNanos = 0;
-    heldBefore = isAnswering();
-    heldBytesBefore = heldBytes();
-    lookLater();
+    wasActive = isActive();
+    previousUnsentBytes = unsentBytes();
+    scheduleIdleCheck();
   }
 
-  private void lookLater() {
-    long idleLeft = limits.get().idleTimeout().toNanos() - restedNanos;
-    long atRest = Math.min(idleLeft, LOOK_AT_REST.toNanos());
-    long wait = heldBefore ? LOOK_WHILE_HELD.toNanos() : atRest;
-    runAfter(Duration.ofNanos(wait), () -> look(wait));
+  private void scheduleIdleCheck() {
+    long untilIdle = limits.get().idleTimeout().toNanos() - idleNanos;
+    long untilIdleCheck = Math.min(untilIdle, IDLE_CHECK_INTERVAL.toNanos());
+    long wait = wasActive ? UNSENT_CHECK_INTERVAL.toNanos() : untilIdleCheck;
+    schedule(Duration.ofNanos(wait), () -> checkIdle(wait));
   }
 
-  /** Judges a connection whose run is over by the limits of now. */
-  private void look(long waitedNanos) {
-    noteRest(isAnswering(), waitedNanos);
-    if (stalledNanos >= STALL_LIMIT.toNanos()) {
-      closeFor(CloseReason.STALLED);
-    } else if (restedNanos >= limits.get().idleTimeout().toNanos()) {
-      closeFor(isAnswering() ? CloseReason.IDLE_WHILE_HELD : CloseReason.IDLE);
+  /** Closes the connection if it is stalled or idle according to the current limits. */
+  private void checkIdle(long waitedNanos) {
+    updateIdleTime(isActive(), waitedNanos);
+    if (stalledNanos >= STALL_TIMEOUT.toNanos()) {
+      closeWith(CloseReason.STALLED);
+    } else if (idleNanos >= limits.get().idleTimeout().toNanos()) {
+      closeWith(isActive() ? CloseReason.IDLE_DURING_RESPONSE : CloseReason.IDLE);
     } else {
-      lookLater();
+      scheduleIdleCheck();
     }
   }
 
-  /** A connection rests from the first look at which nothing is held for its caller any more. */
-  private void noteRest(boolean held, long waitedNanos) {
-    long bytes = heldBytes();
-    restedNanos = held || heldBefore ? 0 : restedNanos + waitedNanos;
-    stalledNanos = held && bytes == heldBytesBefore ? stalledNanos + waitedNanos : 0;
-    heldBefore = held;
-    heldBytesBefore = bytes;
+  /**
+   * Updates the stalled and idle times. A connection counts as idle from the first check that finds
+   * nothing in progress.
+   */
+  private void updateIdleTime(boolean active, long waitedNanos) {
+    long bytes = unsentBytes();
+    idleNanos = active || wasActive ? 0 : idleNanos + waitedNanos;
+    stalledNanos = active && bytes == previousUnsentBytes ? stalledNanos + waitedNanos : 0;
+    wasActive = active;
+    previousUnsentBytes = bytes;
   }
 
-  private long heldBytes() {
-    return answer.heldBytes() + unwritten();
+  private long unsentBytes() {
+    return response.bufferedBytes() + unwrittenBytes();
   }
 
-  private void runAfter(Duration wait, Runnable action) {
+  private void schedule(Duration wait, Runnable action) {
     if (timer != null) {
       timer.cancel(false);
     }
     timer = context.executor().schedule(action, wait.toNanos(), NANOSECONDS);
   }
 
-  private void closeFor(CloseReason reason) {
-    note(reason);
+  private void closeWith(CloseReason reason) {
+    countClose(reason);
     var unused = context.close();
   }
 
   @Override
   public void channelRead(ChannelHandlerContext channel, Object message) throws Exception {
-    if (!isAnswering() && message instanceof ByteBuf bytes) {
-      noteHead(bytes);
+    if (!isActive() && message instanceof ByteBuf bytes) {
+      trackHead(bytes);
     }
     super.channelRead(channel, message);
-    // The decoder has seen these bytes: without a request they are all part of the head.
-    if (!isAnswering() && headBytes > limits.get().maxHeaderBytes()) {
-      reject(tooLarge());
+    // The decoder has processed these bytes: if no request has started, all belong to the head.
+    if (!isActive() && headBytes > limits.get().maxHeaderBytes()) {
+      reject(tooLargeReason());
     }
   }
 
-  private void noteHead(ByteBuf bytes) {
-    if (!headBegan) {
-      headBegan = true;
-      runAfter(limits.get().headerTimeout(), () -> reject(Reason.HEADERS_TOO_SLOW));
+  private void trackHead(ByteBuf bytes) {
+    if (!headStarted) {
+      headStarted = true;
+      schedule(limits.get().headerTimeout(), () -> reject(Reason.HEADERS_TOO_SLOW));
     }
     headBytes += bytes.readableBytes();
-    if (!lineEnded) {
-      int end = bytes.indexOf(bytes.readerIndex(), bytes.writerIndex(), (byte) '\n');
-      lineEnded = end >= 0;
-      lineBytes += lineEnded ? end - bytes.readerIndex() : bytes.readableBytes();
+    if (!startLineEnded) {
+      int lineFeed = bytes.indexOf(bytes.readerIndex(), bytes.writerIndex(), (byte) '\n');
+      startLineEnded = lineFeed >= 0;
+      startLineBytes += startLineEnded ? lineFeed - bytes.readerIndex() : bytes.readableBytes();
     }
   }
 
-  private Reason tooLarge() {
-    return lineBytes > limits.get().maxHeaderBytes()
+  private Reason tooLargeReason() {
+    return startLineBytes > limits.get().maxHeaderBytes()
         ? Reason.TARGET_TOO_LONG
         : Reason.HEADERS_TOO_LARGE;
   }
 
-  /** Answers what can't become a request, and closes the connection. */
+  /** Responds to input that is not a valid request, and closes the connection. */
   private void reject(Reason reason) {
-    if (rejected || isAnswering()) {
+    if (rejected || isActive()) {
       return;
     }
     rejected = true;
-    note(CloseReason.REJECTED);
+    countClose(CloseReason.REJECTED);
     counters.count(Metric.REFUSALS, reason.code());
-    String answer =
+    String response =
         "HTTP/1.1 " + reason.status() + " \r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-    // From the first handler, so that the bytes pass no encoder.
+    // Written from the first handler, so that the bytes bypass the HTTP encoder.
     var unused =
         context
-            .writeAndFlush(Unpooled.wrappedBuffer(answer.getBytes(US_ASCII)))
+            .writeAndFlush(Unpooled.wrappedBuffer(response.getBytes(US_ASCII)))
             .addListener(ChannelFutureListener.CLOSE);
   }
 
   @Override
   public void userEventTriggered(ChannelHandlerContext channel, Object event) throws Exception {
     if (event instanceof ChannelInputShutdownEvent) {
-      noteCallerLeft();
-      answer.callerGone();
+      countCloseByCaller();
+      response.callerDisconnected();
     }
     super.userEventTriggered(channel, event);
   }
@@ -301,33 +316,33 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext channel, Throwable cause) throws Exception {
     if (cause instanceof IOException) {
-      noteCallerLeft();
+      countCloseByCaller();
     }
     super.exceptionCaught(channel, cause);
   }
 
   @Override
   public void close(ChannelHandlerContext channel, ChannelPromise promise) throws Exception {
-    noteClosedHere();
+    countCloseByNode();
     super.close(channel, promise);
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext channel) throws Exception {
-    noteCallerLeft();
-    all.closed(this);
-    answer.callerGone();
+    countCloseByCaller();
+    openConnections.closed(this);
+    response.callerDisconnected();
     timer.cancel(false);
     super.channelInactive(channel);
   }
 
-  /** Sees what the decoder could not read. */
-  private final class Errors extends ChannelInboundHandlerAdapter {
+  /** Handles errors of the HTTP decoder. */
+  private final class DecoderErrorHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext channel, Throwable cause) throws Exception {
-      if (cause instanceof DecoderException && !isAnswering()) {
+      if (cause instanceof DecoderException && !isActive()) {
         boolean tooLong = headBytes > limits.get().maxHeaderBytes();
-        reject(tooLong ? tooLarge() : Reason.MALFORMED_HTTP);
+        reject(tooLong ? tooLargeReason() : Reason.MALFORMED_HTTP);
       } else {
         super.exceptionCaught(channel, cause);
       }
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/CallerConnections.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/CallerConnections.java
@@ -3,13 +3,13 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The open connections of callers. Confined to the node's event loop. */
+/** The set of open caller connections. Confined to the node's event loop. */
 public final class CallerConnections {
   private final Set<CallerConnection> open = new HashSet<>();
 
   private CallerConnections() {}
 
-  /** Returns no connections. */
+  /** Returns an empty set of connections. */
   public static CallerConnections create() {
     return new CallerConnections();
   }
@@ -23,10 +23,10 @@
   }
 
   /**
-   * Returns how many have a request or an answer under way, answers included whose last bytes are
-   * held for a caller that reads slowly.
+   * Returns the number of connections with a request or response in progress, including responses
+   * whose last bytes are buffered for a slow caller.
    */
   public int activeCount() {
-    return (int) open.stream().filter(CallerConnection::isAnswering).count();
+    return (int) open.stream().filter(CallerConnection::isActive).count();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/CloseReason.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/CloseReason.java
@@ -1,16 +1,33 @@
 package org.vaneworks.transport.entry;
 
-/** Who closed a caller's connection, and when; docs/METRICS.md describes them. */
+/** Why and by whom a caller's connection was closed; docs/METRICS.md describes the values. */
 enum CloseReason {
+  /** The idle timeout expired between requests. */
   IDLE("idle"),
-  IDLE_WHILE_HELD("idle-while-held"),
+
+  /** The idle timeout expired while a response was in progress, which must not happen. */
+  IDLE_DURING_RESPONSE("idle-while-held"),
+
+  /** The caller read none of the buffered bytes within the stall timeout. */
   STALLED("stalled"),
+
+  /** The request head was malformed, too large or too slow. */
   REJECTED("rejected"),
-  CUT("cut"),
-  LAST_ANSWER("last-answer"),
-  BETWEEN_ANSWERS("between-answers"),
-  CALLER_LEFT_ANSWER("caller-left-answer"),
-  CALLER_LEFT("caller-left");
+
+  /** The node closed the connection during a response. */
+  ABORTED("cut"),
+
+  /** The connection was closed after a response that announced the close. */
+  LAST_RESPONSE("last-answer"),
+
+  /** The node closed the connection between responses, for example at the caller's request. */
+  BETWEEN_RESPONSES("between-answers"),
+
+  /** The caller disconnected during a request or response. */
+  DISCONNECTED_DURING_RESPONSE("caller-left-answer"),
+
+  /** The caller disconnected between responses. */
+  DISCONNECTED("caller-left");
 
   private final String code;
 
@@ -18,7 +35,7 @@
     this.code = code;
   }
 
-  /** Returns its name in the metrics. */
+  /** Returns the label value in metrics. */
   String code() {
     return code;
   }
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointConnections.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointConnections.java
@@ -31,50 +31,53 @@
 import org.vaneworks.coordination.forwarding.Attempt;
 import org.vaneworks.coordination.forwarding.EndpointCalls;
 import org.vaneworks.state.HostPort;
-import org.vaneworks.transport.CountedClient;
+import org.vaneworks.transport.RefCountedClient;
 import org.vaneworks.transport.SendFailures;
-import org.vaneworks.transport.SingleAddress;
+import org.vaneworks.transport.SingleAddressLoadBalancer;
 
 /**
- * Sends attempts over pooled connections, one request at a time on each.
+ * Sends attempts over pooled HTTP/1.1 connections without pipelining.
  *
- * <p>ServiceTalk's own retries are switched off. Confined to the node's event loop.
+ * <p>ServiceTalk's own retries are disabled. Confined to the node's event loop.
  */
 public final class EndpointConnections implements EndpointCalls {
-  /** An endpoint of the same region accepts in a few ms; a lost packet is sent again after 200. */
+  /**
+   * An endpoint in the same region accepts within a few ms; a lost packet is retransmitted after
+   * 200 ms.
+   */
   private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
-  /** The call that a request belongs to. */
+  /** Context key of the call that a request belongs to. */
   private static final ContextMap.Key<Call> CALL = ContextMap.Key.newKey("call", Call.class);
 
   private final IoExecutor io;
   private final HeaderDialect dialect;
-  private final Map<HostPort, CountedClient<StreamingHttpClient>> clients = new HashMap<>();
+  private final Map<HostPort, RefCountedClient<StreamingHttpClient>> clients = new HashMap<>();
 
   private EndpointConnections(IoExecutor io, HeaderDialect dialect) {
     this.io = checkNotNull(io);
     this.dialect = checkNotNull(dialect);
   }
 
-  /** Returns a pool without connections. */
+  /** Returns an empty connection pool. */
   public static EndpointConnections create(IoExecutor io, HeaderDialect dialect) {
     return new EndpointConnections(io, dialect);
   }
 
-  /** Closes the connections to an endpoint that is gone, once their requests are done. */
+  /** Closes the connections to a removed endpoint once the calls in progress have ended. */
   public void closeConnections(HostPort address) {
-    CountedClient<StreamingHttpClient> client = clients.remove(address);
+    RefCountedClient<StreamingHttpClient> client = clients.remove(address);
     if (client != null) {
-      client.forget();
+      client.closeWhenIdle();
     }
   }
 
   @Override
   public EndpointCall send(Attempt attempt, Listener listener) {
-    CountedClient<StreamingHttpClient> counted =
-        clients.computeIfAbsent(attempt.endpoint().address(), this::connect);
-    StreamingHttpClient client = counted.callBegins();
-    Call call = new Call(dialect, attempt.request().id(), listener, counted::callOver);
+    RefCountedClient<StreamingHttpClient> refCounted =
+        clients.computeIfAbsent(attempt.endpoint().address(), this::newRefCountedClient);
+    StreamingHttpClient client = refCounted.acquire();
+    Call call = new Call(dialect, attempt.request().id(), listener, refCounted::release);
     StreamingHttpRequest request = request(client, attempt);
     request.context().put(CALL, call);
     SourceAdapters.toSource(client.request(request)).subscribe(call);
@@ -82,43 +85,43 @@
   }
 
   private StreamingHttpRequest request(StreamingHttpClient client, Attempt attempt) {
-    EntryRequest source = (EntryRequest) attempt.request();
-    HttpRequestMetaData head = source.head();
+    EntryRequest callerRequest = (EntryRequest) attempt.request();
+    HttpRequestMetaData head = callerRequest.head();
     StreamingHttpRequest request = client.newRequest(head.method(), head.requestTarget());
     HttpHeaders headers = request.headers();
     headers.set(head.headers());
-    HopHeaders.remove(headers);
+    HopByHopHeaders.remove(headers);
     dialect.rewriteForEndpoint(headers, attempt);
-    Buffer body = source.body();
-    boolean hadBody =
+    Buffer body = callerRequest.body();
+    boolean hasBody =
         body.readableBytes() > 0 || head.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-    if (hadBody) {
+    if (hasBody) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(body.readableBytes()));
       request.payloadBody(Publisher.from(body));
     }
     return request;
   }
 
-  private CountedClient<StreamingHttpClient> connect(HostPort to) {
-    return CountedClient.of(clientOf(to));
+  private RefCountedClient<StreamingHttpClient> newRefCountedClient(HostPort to) {
+    return RefCountedClient.of(newClient(to));
   }
 
-  private StreamingHttpClient clientOf(HostPort to) {
+  private StreamingHttpClient newClient(HostPort to) {
     return HttpClients.forResolvedAddress(to.host(), to.port())
         .ioExecutor(io)
         .executor(io)
-        .loadBalancerFactory(SingleAddress.alwaysTried())
+        .loadBalancerFactory(SingleAddressLoadBalancer.withoutOutlierDetection())
         .executionStrategy(HttpExecutionStrategies.offloadNone())
         .socketOption(ServiceTalkSocketOptions.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MILLIS)
         .protocols(HttpProtocolConfigs.h1().maxPipelinedRequests(1).build())
         .hostHeaderFallback(false)
         .appendClientFilter(RetryingHttpRequesterFilter.disableAllRetries())
-        .appendConnectionFilter(EndpointConnections::noteConnected)
+        .appendConnectionFilter(EndpointConnections::recordConnected)
         .buildStreaming();
   }
 
-  /** Tells a call that it has a connection: from then on its request may arrive. */
-  private static StreamingHttpConnectionFilter noteConnected(
+  /** Marks a call as connected: from then on its request may have reached the endpoint. */
+  private static StreamingHttpConnectionFilter recordConnected(
       FilterableStreamingHttpConnection connection) {
     return new StreamingHttpConnectionFilter(connection) {
       @Override
@@ -129,7 +132,7 @@
     };
   }
 
-  /** One attempt: first the response's head, then its body. */
+  /** One attempt; subscribes first to the response head, then to its body. */
   private static final class Call
       implements EndpointCall,
           SingleSource.Subscriber<StreamingHttpResponse>,
@@ -137,23 +140,23 @@
     private final HeaderDialect dialect;
     private final String requestId;
     private final Listener listener;
-    private final Runnable onOver;
-    private Cancellable head = () -> {};
+    private final Runnable onFinished;
+    private Cancellable pendingHead = () -> {};
     private PublisherSource.Subscription body;
     private boolean connected;
     private boolean cancelled;
     private boolean discarded;
     private boolean paused;
-    private boolean owed;
-    private boolean over;
+    private boolean requestDeferred;
+    private boolean finished;
 
     /**
-     * Makes a call that was not sent yet.
+     * Creates a call that has not been sent.
      *
-     * @param onOver is called once when the call needs its client no more
+     * @param onFinished runs once, when the call no longer needs its client
      */
-    Call(HeaderDialect dialect, String requestId, Listener listener, Runnable onOver) {
-      this.onOver = onOver;
+    Call(HeaderDialect dialect, String requestId, Listener listener, Runnable onFinished) {
+      this.onFinished = onFinished;
       this.dialect = dialect;
       this.requestId = requestId;
       this.listener = listener;
@@ -161,9 +164,9 @@
 
     @Override
     public void onSubscribe(Cancellable cancellable) {
-      head = cancellable;
+      pendingHead = cancellable;
       if (cancelled) {
-        head.cancel();
+        pendingHead.cancel();
       }
     }
 
@@ -176,7 +179,7 @@
       HttpHeaders headers = response.headers();
       int status = response.status().code();
       listener.head(
-          new EndpointAnswerHead(
+          new EndpointResponseHead(
               response,
               dialect.notRun(status, headers),
               dialect.matches(headers, requestId),
@@ -191,13 +194,13 @@
       if (cancelled) {
         body.cancel();
       } else {
-        ask();
+        requestNext();
       }
     }
 
-    private void ask() {
+    private void requestNext() {
       if (paused && !discarded) {
-        owed = true;
+        requestDeferred = true;
       } else {
         body.request(1);
       }
@@ -210,12 +213,12 @@
         buffer.readBytes(bytes);
         listener.data(bytes);
       }
-      ask();
+      requestNext();
     }
 
     @Override
     public void onComplete() {
-      over();
+      finish();
       if (!discarded && !cancelled) {
         listener.end();
       }
@@ -223,11 +226,11 @@
 
     @Override
     public void onError(Throwable cause) {
-      over();
+      finish();
       if (!discarded && !cancelled) {
         boolean refused = SendFailures.connectionRefused(cause);
-        Throwable told = refused ? new NobodyListensException(cause) : cause;
-        listener.failed(body == null && SendFailures.neverSent(cause), told);
+        Throwable reported = refused ? new NobodyListensException(cause) : cause;
+        listener.failed(body == null && SendFailures.neverSent(cause), reported);
       }
     }
 
@@ -246,15 +249,15 @@
       if (body != null) {
         body.cancel();
       } else {
-        head.cancel();
+        pendingHead.cancel();
       }
-      over();
+      finish();
     }
 
-    private void over() {
-      if (!over) {
-        over = true;
-        onOver.run();
+    private void finish() {
+      if (!finished) {
+        finished = true;
+        onFinished.run();
       }
     }
 
@@ -272,8 +275,8 @@
     @Override
     public void resume() {
       paused = false;
-      if (owed) {
-        owed = false;
+      if (requestDeferred) {
+        requestDeferred = false;
         body.request(1);
       }
     }
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointAnswerHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointResponseHead.java
@@ -7,15 +7,15 @@
 import org.vaneworks.state.HostPort;
 
 /**
- * An endpoint's head with its headers.
+ * The head of an endpoint's response, including its headers.
  *
  * @param response status and headers
- * @param notRun whether the endpoint states that it did not run the request
- * @param matches whether it answers the request that was sent
- * @param obstacle the engine that it names as the reason
- * @param statement what it says of itself
+ * @param notRun whether the endpoint reports that it did not run the request
+ * @param matches whether the response carries the ID of the request that was sent
+ * @param obstacle the engine named as the reason that the request was not run, if any
+ * @param statement the signals that the endpoint reports about itself
  */
-record EndpointAnswerHead(
+record EndpointResponseHead(
     HttpResponseMetaData response,
     boolean notRun,
     boolean matches,
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryRequest.java
@@ -9,7 +9,7 @@
 import org.vaneworks.coordination.relay.RequestSize;
 import org.vaneworks.state.RequestContent;
 
-/** A caller's request with its headers and its whole body. */
+/** A caller's request with its headers and complete body. */
 final class EntryRequest implements CallerRequest {
   private final HttpRequestMetaData head;
   private final Buffer body;
@@ -27,7 +27,7 @@
     return head;
   }
 
-  /** Returns a view of the body that can be read once. */
+  /** Returns a new view of the body with its own reader index. */
   Buffer body() {
     return body.duplicate();
   }
--- /dev/null
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryResponse.java
@@ -0,0 +1,168 @@
+package org.vaneworks.transport.entry;
+
+import io.servicetalk.buffer.api.BufferAllocator;
+import io.servicetalk.concurrent.SingleSource;
+import io.servicetalk.concurrent.api.Processors;
+import io.servicetalk.concurrent.api.Single;
+import io.servicetalk.concurrent.api.SourceAdapters;
+import io.servicetalk.http.api.HttpHeaderNames;
+import io.servicetalk.http.api.HttpHeaderValues;
+import io.servicetalk.http.api.StreamingHttpResponse;
+import io.servicetalk.http.api.StreamingHttpResponseFactory;
+import java.nio.channels.ClosedChannelException;
+import java.util.function.BooleanSupplier;
+import org.vaneworks.coordination.forwarding.AnswerHead;
+import org.vaneworks.coordination.forwarding.CallerAnswer;
+import org.vaneworks.state.Reason;
+import org.vaneworks.state.Refusal;
+
+/**
+ * The response to one caller's request, as a ServiceTalk response. Confined to the node's event
+ * loop.
+ */
+final class EntryResponse implements CallerAnswer, PendingResponse {
+  /** Receives the events of a response that concern its connection. */
+  interface ConnectionListener {
+    /** Called when a response is complete or aborted, or when its caller has disconnected. */
+    void requestEnded(PendingResponse ended);
+
+    /** Called when the connection will be closed after the response. */
+    void closesAfterResponse();
+
+    /** Called when the connection will be closed in the middle of the response. */
+    void aborted();
+  }
+
+  private final StreamingHttpResponseFactory factory;
+  private final BufferAllocator allocator;
+  private final BooleanSupplier closing;
+  private final SingleSource.Processor<StreamingHttpResponse, StreamingHttpResponse> response =
+      Processors.newSingleProcessor();
+  private final ResponseBody body =
+      new ResponseBody(() -> listener().drained(), this::callerDisconnected);
+  private Flow listener;
+  private final ConnectionListener connection;
+  private boolean headSent;
+  private boolean ended;
+  private boolean disconnected;
+  private boolean closeAfterwards;
+
+  /**
+   * Creates a response that waits for its head.
+   *
+   * @param closing returns whether the connection is to be closed after this response
+   * @param connection receives the events that concern the caller's connection
+   */
+  EntryResponse(
+      StreamingHttpResponseFactory factory,
+      BufferAllocator allocator,
+      BooleanSupplier closing,
+      ConnectionListener connection) {
+    this.connection = connection;
+    this.factory = factory;
+    this.allocator = allocator;
+    this.closing = closing;
+  }
+
+  /** Sets the listener for events of the caller. */
+  void listener(Flow newListener) {
+    listener = newListener;
+  }
+
+  private Flow listener() {
+    return listener;
+  }
+
+  /** Returns the ServiceTalk response, which completes when the head is known. */
+  Single<StreamingHttpResponse> response() {
+    return SourceAdapters.fromSource(response).whenCancel(this::callerDisconnected);
+  }
+
+  @Override
+  public boolean isTerminated() {
+    return disconnected || (headSent ? body.isTerminated() : ended);
+  }
+
+  @Override
+  public long bufferedBytes() {
+    return body.bufferedBytes();
+  }
+
+  @Override
+  public void callerDisconnected() {
+    if (!ended) {
+      disconnected = true;
+      recordEnd();
+      if (listener != null) {
+        listener.gone();
+      }
+    }
+  }
+
+  private void recordEnd() {
+    if (!ended) {
+      ended = true;
+      connection.requestEnded(this);
+    }
+  }
+
+  /** Refuses a request of which nothing was forwarded. */
+  Single<StreamingHttpResponse> refuseUnsent(Reason reason, String detail) {
+    refuse(Refusal.before(reason, detail));
+    return response();
+  }
+
+  /**
+   * Refuses a request and closes the connection, because the start of the next request can't be
+   * determined.
+   */
+  Single<StreamingHttpResponse> refuseAndClose(Reason reason, String detail) {
+    closeAfterwards = true;
+    return refuseUnsent(reason, detail);
+  }
+
+  @Override
+  public void head(AnswerHead head) {
+    var endpointResponse = ((EndpointResponseHead) head).response();
+    StreamingHttpResponse callerResponse = factory.newResponse(endpointResponse.status());
+    callerResponse.headers().set(endpointResponse.headers());
+    HopByHopHeaders.remove(callerResponse.headers());
+    addCloseHeaderIfNeeded(callerResponse);
+    headSent = true;
+    callerResponse.payloadBody(SourceAdapters.fromSource(body));
+    response.onSuccess(callerResponse);
+  }
+
+  private void addCloseHeaderIfNeeded(StreamingHttpResponse callerResponse) {
+    if (closeAfterwards || closing.getAsBoolean()) {
+      callerResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+      connection.closesAfterResponse();
+    }
+  }
+
+  @Override
+  public boolean data(byte[] bytes) {
+    return body.offer(allocator.wrap(bytes));
+  }
+
+  @Override
+  public void end() {
+    body.end();
+    recordEnd();
+  }
+
+  @Override
+  public void cut() {
+    connection.aborted();
+    body.fail(new ClosedChannelException());
+    recordEnd();
+  }
+
+  @Override
+  public void refuse(Refusal refusal) {
+    recordEnd();
+    StreamingHttpResponse callerResponse = Refusals.response(factory, allocator, refusal);
+    addCloseHeaderIfNeeded(callerResponse);
+    response.onSuccess(callerResponse);
+  }
+}
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryServer.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryServer.java
@@ -33,22 +33,24 @@
 import org.vaneworks.state.entry.EntryLimits;
 import org.vaneworks.telemetry.Counters;
 
-/** Listens to callers whose requests are forwarded, and answers the balancer's readiness check. */
+/**
+ * HTTP servers for callers whose requests are forwarded, for the readiness check and for metrics.
+ */
 public final class EntryServer {
-  /** Takes requests whose body has been read. */
+  /** Handles requests whose body has been read completely. */
   @FunctionalInterface
-  public interface Service {
-    /** Takes a request; the result is told of the caller from then on. */
-    CallerAnswer.Flow take(CallerRequest request, CallerAnswer answer);
+  public interface RequestHandler {
+    /** Handles a request; the returned listener receives later events of the caller. */
+    CallerAnswer.Flow handle(CallerRequest request, CallerAnswer response);
   }
 
-  /** Colon, space and line end of a header. */
-  private static final int HEADER_MARKS = 4;
+  /** Colon, space, CR and LF of a header line. */
+  private static final int HEADER_OVERHEAD_BYTES = 4;
 
-  /** The text form that Prometheus reads. */
+  /** The Prometheus text exposition format. */
   private static final String METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
-  private final Service service;
+  private final RequestHandler handler;
   private final HeaderDialect dialect;
   private final Supplier<EntryLimits> limits;
   private final CallerConnections connections;
@@ -56,7 +58,7 @@
   private final BooleanSupplier closing;
 
   private EntryServer(
-      Service service,
+      RequestHandler handler,
       HeaderDialect dialect,
       Supplier<EntryLimits> limits,
       BooleanSupplier closing,
@@ -64,25 +66,25 @@
       Counters counters) {
     this.connections = checkNotNull(connections);
     this.counters = checkNotNull(counters);
-    this.service = checkNotNull(service);
+    this.handler = checkNotNull(handler);
     this.dialect = checkNotNull(dialect);
     this.limits = checkNotNull(limits);
     this.closing = checkNotNull(closing);
   }
 
   /**
-   * Listens to callers.
+   * Starts the server for callers.
    *
-   * @param io the node's event loop; everything runs on it
-   * @param maxHeaderBytes longest start line, and longest header field
-   * @param limits bounds on what callers may send, at the time of a request
-   * @param closing whether connections are to be closed after their next answer
-   * @param connections is told of callers' connections
+   * @param io the node's event loop, on which all work runs
+   * @param maxHeaderBytes maximum length of the start line, and of a single header field
+   * @param limits returns the current bounds on what callers may send
+   * @param closing returns whether connections are to be closed after their next response
+   * @param connections set to which caller connections are added while they are open
    */
   public static HttpServerContext listen(
       HostPort address,
       IoExecutor io,
-      Service service,
+      RequestHandler handler,
       HeaderDialect dialect,
       int maxHeaderBytes,
       Supplier<EntryLimits> limits,
@@ -90,14 +92,14 @@
       CallerConnections connections,
       Counters counters)
       throws Exception {
-    EntryServer server = new EntryServer(service, dialect, limits, closing, connections, counters);
-    return onTheLoop(address, io)
+    EntryServer server = new EntryServer(handler, dialect, limits, closing, connections, counters);
+    return eventLoopServer(address, io)
         .protocols(
             HttpProtocolConfigs.h1()
                 .maxStartLineLength(maxHeaderBytes)
                 .maxHeaderFieldLength(maxHeaderBytes)
                 .build())
-        .appendLateConnectionAcceptor(DelegatingLateAcceptor.onTheLoop(server::accept))
+        .appendLateConnectionAcceptor(EventLoopConnectionAcceptor.onEventLoop(server::accept))
         .listenStreamingAndAwait(server::handle);
   }
 
@@ -107,20 +109,20 @@
     return Completable.completed();
   }
 
-  /** Listens to the balancer's readiness check; any path is answered. */
+  /** Starts the server for the load balancer's readiness check, which responds on every path. */
   public static HttpServerContext listenReadiness(
       HostPort address, IoExecutor io, BooleanSupplier ready) throws Exception {
-    return onTheLoop(address, io)
+    return eventLoopServer(address, io)
         .listenStreamingAndAwait(
             (context, request, factory) ->
                 Single.succeeded(
                     ready.getAsBoolean() ? factory.ok() : factory.serviceUnavailable()));
   }
 
-  /** Listens to readers of the node's own figures; any path is answered with the text. */
+  /** Starts the server for the node's metrics, which returns the text on every path. */
   public static HttpServerContext listenMetrics(
       HostPort address, IoExecutor io, Supplier<String> metrics) throws Exception {
-    return onTheLoop(address, io)
+    return eventLoopServer(address, io)
         .listenStreamingAndAwait(
             (context, request, factory) ->
                 Single.succeeded(
@@ -135,7 +137,7 @@
                                     .fromUtf8(metrics.get())))));
   }
 
-  private static HttpServerBuilder onTheLoop(HostPort address, IoExecutor io) {
+  private static HttpServerBuilder eventLoopServer(HostPort address, IoExecutor io) {
     return HttpServers.forAddress(new InetSocketAddress(address.host(), address.port()))
         .ioExecutor(io)
         .executor(io)
@@ -148,15 +150,16 @@
       StreamingHttpResponseFactory factory) {
     Channel channel = ((NettyConnectionContext) context).nettyChannel();
     CallerConnection connection = CallerConnection.of(channel);
-    EntryAnswer answer =
-        new EntryAnswer(factory, context.executionContext().bufferAllocator(), closing, connection);
-    connection.requestBegan(answer);
+    EntryResponse response =
+        new EntryResponse(
+            factory, context.executionContext().bufferAllocator(), closing, connection);
+    connection.requestStarted(response);
     Optional<String> id = dialect.requestId(request.headers());
     if (id.isEmpty()) {
-      return answer.refused(Reason.INVALID_HEADER, "the request has no id");
+      return response.refuseUnsent(Reason.INVALID_HEADER, "the request has no id");
     }
-    if (bytesOf(request.headers()) > limits.get().maxHeaderBytes()) {
-      return answer.refusedForGood(Reason.HEADERS_TOO_LARGE, "all headers together");
+    if (totalBytes(request.headers()) > limits.get().maxHeaderBytes()) {
+      return response.refuseAndClose(Reason.HEADERS_TOO_LARGE, "all headers together");
     }
     return request
         .payloadBody()
@@ -165,27 +168,28 @@
                 new BodyCollector(
                     context.executionContext().bufferAllocator(), limits.get().maxBodyBytes()),
             BodyCollector::add)
-        .flatMap(body -> forward(request, body, answer, id.get()))
+        .flatMap(body -> forward(request, body, response, id.get()))
         .onErrorResume(
             DecoderException.class,
-            failure -> answer.refusedForGood(Reason.MALFORMED_HTTP, failure.getMessage()));
+            failure -> response.refuseAndClose(Reason.MALFORMED_HTTP, failure.getMessage()));
   }
 
-  private static long bytesOf(HttpHeaders headers) {
+  private static long totalBytes(HttpHeaders headers) {
     long bytes = 0;
     for (Map.Entry<CharSequence, CharSequence> header : headers) {
-      bytes += header.getKey().length() + header.getValue().length() + HEADER_MARKS;
+      bytes += header.getKey().length() + header.getValue().length() + HEADER_OVERHEAD_BYTES;
     }
     return bytes;
   }
 
   private Single<StreamingHttpResponse> forward(
-      StreamingHttpRequest request, BodyCollector collected, EntryAnswer answer, String id) {
-    if (collected.overLimit()) {
-      return answer.refusedForGood(
+      StreamingHttpRequest request, BodyCollector collector, EntryResponse response, String id) {
+    if (collector.isOverLimit()) {
+      return response.refuseAndClose(
           Reason.BODY_TOO_LARGE, "allowed: " + limits.get().maxBodyBytes());
     }
-    answer.flow(service.take(new EntryRequest(request, collected.body(), dialect, id), answer));
-    return answer.response();
+    response.listener(
+        handler.handle(new EntryRequest(request, collector.body(), dialect, id), response));
+    return response.response();
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/DelegatingLateAcceptor.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EventLoopConnectionAcceptor.java
@@ -6,16 +6,19 @@
 import io.servicetalk.transport.api.LateConnectionAcceptor;
 import java.util.function.Function;
 
-/** Looks at accepted connections on their event loop; by default ServiceTalk changes the thread. */
-final class DelegatingLateAcceptor implements LateConnectionAcceptor {
+/**
+ * Runs an acceptor on the event loop of the accepted connection; ServiceTalk offloads acceptors to
+ * another thread by default.
+ */
+final class EventLoopConnectionAcceptor implements LateConnectionAcceptor {
   private final Function<ConnectionInfo, Completable> acceptor;
 
-  private DelegatingLateAcceptor(Function<ConnectionInfo, Completable> acceptor) {
+  private EventLoopConnectionAcceptor(Function<ConnectionInfo, Completable> acceptor) {
     this.acceptor = acceptor;
   }
 
-  static LateConnectionAcceptor onTheLoop(Function<ConnectionInfo, Completable> acceptor) {
-    return new DelegatingLateAcceptor(acceptor);
+  static LateConnectionAcceptor onEventLoop(Function<ConnectionInfo, Completable> acceptor) {
+    return new EventLoopConnectionAcceptor(acceptor);
   }
 
   @Override
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/HeaderDialect.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/HeaderDialect.java
@@ -8,36 +8,36 @@
 import org.vaneworks.state.EndpointStatement;
 import org.vaneworks.state.HostPort;
 
-/** Which headers of callers and endpoints carry what. An implementation keeps no state. */
+/** Maps platform-specific headers of callers and endpoints. Implementations are stateless. */
 public interface HeaderDialect {
-  /** Returns the caller's name of its attempt. */
+  /** Returns the request ID that the caller chose for its attempt. */
   Optional<String> requestId(HttpHeaders headers);
 
-  /** Returns the secret that shows whose request it is. */
+  /** Returns the API key that identifies the workspace of the request. */
   Optional<String> key(HttpHeaders headers);
 
-  /** Returns how long the caller waits. */
+  /** Returns how long the caller waits for the response. */
   Optional<Duration> callerTimeout(HttpHeaders headers);
 
-  /** Returns how large the request is expected to be. */
+  /** Returns the expected size of the request. */
   Optional<RequestSize> size(HttpHeaders headers);
 
   /**
-   * Changes a caller's headers into those for an endpoint.
+   * Rewrites a caller's headers in place for an endpoint.
    *
-   * @param headers a copy that is about to be sent
+   * @param headers copy of the caller's headers that will be sent with the attempt
    */
   void rewriteForEndpoint(HttpHeaders headers, Attempt attempt);
 
-  /** Returns whether an answer states that the request was not run. */
+  /** Returns whether a response reports that the request was not run. */
   boolean notRun(int status, HttpHeaders headers);
 
-  /** Returns the engine that an answer names as the reason. */
+  /** Returns the engine that a response names as the reason that the request was not run. */
   Optional<HostPort> obstacle(HttpHeaders headers);
 
-  /** Returns what an answer says of its endpoint. */
+  /** Returns the signals that a response carries about its endpoint. */
   EndpointStatement statement(int status, HttpHeaders headers);
 
-  /** Returns whether an answer belongs to the request of that id. */
+  /** Returns whether a response belongs to the request with the given ID. */
   boolean matches(HttpHeaders headers, String requestId);
 }
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/HopHeaders.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/HopByHopHeaders.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Removes the headers that concern one connection only (RFC 9110, section 7.6.1). */
-final class HopHeaders {
+/** Removes hop-by-hop headers (RFC 9110, section 7.6.1). */
+final class HopByHopHeaders {
   private static final ImmutableList<CharSequence> NAMES =
       ImmutableList.of(
           HttpHeaderNames.CONNECTION,
@@ -21,16 +21,16 @@
           "upgrade",
           "expect");
 
-  private HopHeaders() {}
+  private HopByHopHeaders() {}
 
   static void remove(HttpHeaders headers) {
-    List<String> named = new ArrayList<>();
+    List<String> connectionOptions = new ArrayList<>();
     for (CharSequence value : headers.values(HttpHeaderNames.CONNECTION)) {
       for (String name : value.toString().split(",")) {
-        named.add(name.strip());
+        connectionOptions.add(name.strip());
       }
     }
-    named.stream().filter(name -> !name.isEmpty()).forEach(headers::remove);
+    connectionOptions.stream().filter(name -> !name.isEmpty()).forEach(headers::remove);
     NAMES.forEach(headers::remove);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/LoadDatagrams.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/LoadDatagrams.java
@@ -30,26 +30,34 @@
 import org.vaneworks.telemetry.Metric;
 
 /**
- * Load reports as datagrams, one a report.
+ * Sends and receives load reports over UDP, one report per datagram.
  *
- * <p>A lost datagram is made good by the next, so there is nothing to retry, and no connection that
- * could fall silent. What has come waits in the socket until {@link #collect}: a wake of the
- * process for each would cost more than its reading. Runs on the node's event loop.
+ * <p>The next report replaces a lost one, so nothing is retried and there is no connection that
+ * could stall. Received datagrams stay in the socket buffer until {@link #collect}, because waking
+ * the process for each would cost more than reading it. Runs on the node's event loop.
  */
 public final class LoadDatagrams implements LoadSender {
-  /** A group's report of 2,400 endpoints is some 29 KB; what is longer is cut and not read. */
-  private static final int MOST_BYTES = 32 << 10;
+  /**
+   * A group's report of 2,400 endpoints takes about 29 KB; longer datagrams are truncated and
+   * rejected.
+   */
+  private static final int MAX_DATAGRAM_BYTES = 32 << 10;
 
-  /** Twice what a group of twenty and twenty other groups send between two collections. */
-  private static final int MOST_AT_ONCE = 64;
+  /**
+   * Twice what the nodes of a group of twenty and twenty other groups send between two collections.
+   */
+  private static final int MAX_DATAGRAMS_PER_READ = 64;
 
-  /** Some times the nodes of the largest fleet; beyond it, those of boxes that are gone. */
-  private static final int MOST_KEPT_ADDRESSES = 2000;
+  /**
+   * Several times the number of nodes in the largest fleet; above this bound, the cache mostly has
+   * addresses of removed boxes and is cleared.
+   */
+  private static final int MAX_CACHED_ADDRESSES = 2000;
 
   private final Channel channel;
   private final Counters counters;
 
-  /** Kept, as a report goes out 25 times a second. */
+  /** Cache of socket addresses, because a report is sent 25 times a second. */
   private final Map<HostPort, InetSocketAddress> addresses = new HashMap<>();
 
   private LoadDatagrams(Channel channel, Counters counters) {
@@ -58,13 +66,13 @@
   }
 
   /**
-   * Listens for reports.
+   * Binds the socket.
    *
-   * @param io the node's event loop, made by ServiceTalk's Netty transport
-   * @param heard takes each report, on the event loop
+   * @param io the node's event loop, created by ServiceTalk's Netty transport
+   * @param receiver called with each received report, on the event loop
    */
   public static LoadDatagrams listen(
-      HostPort address, IoExecutor io, Consumer<LoadReport> heard, Counters counters) {
+      HostPort address, IoExecutor io, Consumer<LoadReport> receiver, Counters counters) {
     checkArgument(io instanceof EventLoopAwareNettyIoExecutor, "not Netty's event loop: %s", io);
     EventLoopGroup loop = ((EventLoopAwareNettyIoExecutor) io).eventLoopGroup();
     Channel channel =
@@ -74,15 +82,16 @@
             .option(ChannelOption.AUTO_READ, false)
             .option(
                 ChannelOption.RCVBUF_ALLOCATOR,
-                new FixedRecvByteBufAllocator(MOST_BYTES).maxMessagesPerRead(MOST_AT_ONCE))
-            .handler(new Handler(heard, counters))
+                new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES)
+                    .maxMessagesPerRead(MAX_DATAGRAMS_PER_READ))
+            .handler(new Handler(receiver, counters))
             .bind(new InetSocketAddress(address.host(), address.port()))
             .syncUninterruptibly()
             .channel();
     return new LoadDatagrams(channel, counters);
   }
 
-  /** Returns where reports are listened for. */
+  /** Returns the address that the socket is bound to. */
   public HostPort address() {
     InetSocketAddress local = (InetSocketAddress) channel.localAddress();
     return new HostPort(local.getAddress().getHostAddress(), local.getPort());
@@ -90,13 +99,13 @@
 
   @Override
   public int send(HostPort peer, LoadReport report) {
-    if (addresses.size() > MOST_KEPT_ADDRESSES) {
+    if (addresses.size() > MAX_CACHED_ADDRESSES) {
       addresses.clear();
     }
     InetSocketAddress to = addresses.computeIfAbsent(peer, LoadDatagrams::socketAddress);
     byte[] bytes = LoadCodec.encode(report);
     DatagramPacket packet = new DatagramPacket(Unpooled.wrappedBuffer(bytes), to);
-    // A peer that is gone answers with "unreachable"; its entry lapses on its own.
+    // A stopped peer causes ICMP "unreachable" errors until its entry expires.
     ChannelFuture unused =
         channel
             .writeAndFlush(packet)
@@ -108,7 +117,7 @@
 
   @Override
   public void collect() {
-    // Without automatic reading the channel would take one datagram and leave the others.
+    // Without auto-read, the channel would receive only one of the queued datagrams.
     channel.config().setAutoRead(true);
   }
 
@@ -116,24 +125,24 @@
     return new InetSocketAddress(peer.host(), peer.port());
   }
 
-  /** Listens no longer. */
+  /** Closes the socket. */
   public void close() {
     ChannelFuture unused = channel.close();
   }
 
   private static final class Handler extends SimpleChannelInboundHandler<DatagramPacket> {
-    private final Consumer<LoadReport> heard;
+    private final Consumer<LoadReport> receiver;
     private final Counters counters;
 
-    Handler(Consumer<LoadReport> heard, Counters counters) {
-      this.heard = heard;
+    Handler(Consumer<LoadReport> receiver, Counters counters) {
+      this.receiver = receiver;
       this.counters = counters;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
       try {
-        heard.accept(LoadCodec.decode(ByteBufUtil.getBytes(packet.content())));
+        receiver.accept(LoadCodec.decode(ByteBufUtil.getBytes(packet.content())));
         counters.count(Metric.LOAD_REPORTS, "heard");
       } catch (IllegalArgumentException e) {
         counters.count(Metric.LOAD_REPORTS, "not-read");
@@ -141,13 +150,13 @@
       }
     }
 
-    /** All that had come is read: what comes from now on waits for the next collection. */
+    /** Stops reading: datagrams that arrive from now on wait for the next collection. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
       context.channel().config().setAutoRead(false);
     }
 
-    /** An unreachable peer shows as an error of the socket, which stays usable. */
+    /** Counts errors caused by unreachable peers; the socket stays usable. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       counters.count(Metric.LOAD_REPORTS, "socket-error");
--- /dev/null
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/PendingResponse.java
@@ -0,0 +1,15 @@
+package org.vaneworks.transport.entry;
+
+/** The latest response on a caller connection, as seen by that connection. */
+interface PendingResponse {
+  /** Notifies the response that the caller closed its connection. */
+  void callerDisconnected();
+
+  /**
+   * Returns whether all of the response was passed to the connection, or the rest was abandoned.
+   */
+  boolean isTerminated();
+
+  /** Returns the number of bytes that are buffered and not yet passed to the connection. */
+  long bufferedBytes();
+}
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/Refusals.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/Refusals.java
@@ -10,7 +10,7 @@
 import org.vaneworks.protocol.CallerJson;
 import org.vaneworks.state.Refusal;
 
-/** Refusals as HTTP answers ({@code application/problem+json}, RFC 9457). */
+/** Converts refusals to HTTP responses ({@code application/problem+json}, RFC 9457). */
 final class Refusals {
   private static final double MILLIS_PER_SECOND = 1000.0;
 
@@ -19,20 +19,21 @@
   static StreamingHttpResponse response(
       StreamingHttpResponseFactory factory, BufferAllocator allocator, Refusal refusal) {
     HttpResponseStatus status = HttpResponseStatus.of(refusal.reason().status(), "");
-    StreamingHttpResponse answer = factory.newResponse(status);
+    StreamingHttpResponse response = factory.newResponse(status);
     String body = CallerJson.writeProblem(refusal);
     var bytes = allocator.fromUtf8(body);
-    answer.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/problem+json");
-    answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(bytes.readableBytes()));
+    response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/problem+json");
+    response.headers().set(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(bytes.readableBytes()));
     refusal
         .retryAfter()
         .ifPresent(
-            wait ->
-                answer
+            retryAfter ->
+                response
                     .headers()
                     .set(
                         "retry-after",
-                        String.format(Locale.ROOT, "%.2f", wait.toMillis() / MILLIS_PER_SECOND)));
-    return answer.payloadBody(Publisher.from(bytes));
+                        String.format(
+                            Locale.ROOT, "%.2f", retryAfter.toMillis() / MILLIS_PER_SECOND)));
+    return response.payloadBody(Publisher.from(bytes));
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/AnswerBody.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/ResponseBody.java
@@ -8,60 +8,64 @@
 import java.util.Queue;
 
 /**
- * The body of an answer to a caller, fed as an endpoint's answer comes in.
+ * The body of a response to a caller, published as the endpoint's response arrives.
  *
- * <p>Holds what the caller has not asked for yet; {@link #offer} says when that is over its bound,
- * and the drained callback when it is empty again. Confined to the node's event loop.
+ * <p>Buffers bytes for which the subscriber has no demand yet. {@link #offer} returns false while
+ * the buffer exceeds its bound, and the {@code onDrained} callback runs once it is empty again.
+ * Confined to the node's event loop.
  */
-final class AnswerBody implements PublisherSource<Buffer>, PublisherSource.Subscription {
-  /** Held for a caller that reads slowly before the endpoint is read no further. */
-  private static final int MAX_HELD_BYTES = 64 << 10;
+final class ResponseBody implements PublisherSource<Buffer>, PublisherSource.Subscription {
+  /** Bytes buffered for a slow caller above which reading from the endpoint is paused. */
+  private static final int MAX_BUFFERED_BYTES = 64 << 10;
 
   private final Runnable onDrained;
   private final Runnable onCancel;
-  private final Queue<Buffer> held = new ArrayDeque<>();
+  private final Queue<Buffer> buffered = new ArrayDeque<>();
   private Subscriber<? super Buffer> subscriber;
   private Throwable failure;
   private long demand;
-  private int heldBytes;
+  private int bufferedBytes;
   private boolean full;
   private boolean ended;
   private boolean terminated;
   private boolean emitting;
 
-  AnswerBody(Runnable onDrained, Runnable onCancel) {
+  ResponseBody(Runnable onDrained, Runnable onCancel) {
     this.onDrained = checkNotNull(onDrained);
     this.onCancel = checkNotNull(onCancel);
   }
 
-  /** Adds bytes; returns whether more may follow at once. */
+  /** Appends bytes to the body; returns whether the producer may continue without a pause. */
   boolean offer(Buffer bytes) {
     if (terminated) {
       return true;
     }
-    held.add(bytes);
-    heldBytes += bytes.readableBytes();
+    buffered.add(bytes);
+    bufferedBytes += bytes.readableBytes();
     emit();
-    full = heldBytes > MAX_HELD_BYTES;
+    full = bufferedBytes > MAX_BUFFERED_BYTES;
     return !full;
   }
 
-  /** Returns whether the whole body was passed on, or nobody takes it any more. */
-  boolean isPassedOn() {
+  /** Returns whether the body was emitted to its end, failed, or was cancelled. */
+  boolean isTerminated() {
     return terminated;
   }
 
-  int heldBytes() {
-    return heldBytes;
+  int bufferedBytes() {
+    return bufferedBytes;
   }
 
-  /** Ends the body as whole. */
+  /** Completes the body after the buffered bytes. */
   void end() {
     ended = true;
     emit();
   }
 
-  /** Ends the body so that the connection is closed without its end mark. */
+  /**
+   * Fails the body after the buffered bytes; the connection is then closed without the end of the
+   * chunked body, so that the caller detects the truncation.
+   */
   void fail(Throwable cause) {
     failure = checkNotNull(cause);
     ended = true;
@@ -79,7 +83,7 @@
   public void request(long n) {
     demand = demand + n < 0 ? Long.MAX_VALUE : demand + n;
     emit();
-    if (full && heldBytes == 0) {
+    if (full && bufferedBytes == 0) {
       full = false;
       onDrained.run();
     }
@@ -89,7 +93,7 @@
   public void cancel() {
     if (!terminated) {
       terminated = true;
-      held.clear();
+      buffered.clear();
       onCancel.run();
     }
   }
@@ -99,14 +103,14 @@
       return;
     }
     emitting = true;
-    while (demand > 0 && !held.isEmpty() && !terminated) {
+    while (demand > 0 && !buffered.isEmpty() && !terminated) {
       demand--;
-      Buffer next = held.poll();
-      heldBytes -= next.readableBytes();
+      Buffer next = buffered.poll();
+      bufferedBytes -= next.readableBytes();
       subscriber.onNext(next);
     }
     emitting = false;
-    if (held.isEmpty() && ended && !terminated) {
+    if (buffered.isEmpty() && ended && !terminated) {
       terminated = true;
       if (failure == null) {
         subscriber.onComplete();
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The sockets of forwarding: the server that callers reach, the connections to endpoints, and the
- * readiness check. Speaks HTTP through ServiceTalk; which headers carry what is an adapter's {@link
- * org.vaneworks.transport.entry.HeaderDialect}.
+ * Network I/O of request forwarding: the HTTP server for callers, pooled connections to endpoints,
+ * the readiness check, and load reports over UDP. HTTP is handled by ServiceTalk; a {@link
+ * org.vaneworks.transport.entry.HeaderDialect} maps platform-specific headers.
  */
 package org.vaneworks.transport.entry;
--- a/vaneworks/src/main/java/org/vaneworks/transport/package-info.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/package-info.java
@@ -1,2 +1,4 @@
-/** Sockets and HTTP: ServiceTalk to callers, endpoints and the platform; Netty between nodes. */
+/**
+ * Network I/O: HTTP with callers, endpoints and the platform (ServiceTalk); peer protocol (Netty).
+ */
 package org.vaneworks.transport;
