--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/CallerConnectionTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/CallerConnectionTest.java
@@ -155,9 +155,8 @@
     assertClosedFor(CloseReason.IDLE);
   }
 
-  // Guards against an idle timer that runs, and aborts the response, while its last bytes are
-  // pending
-  // in the channel.
+  // Guards against an idle timer that runs, and aborts the response, while its last bytes wait to
+  // be written to the socket.
   @Test
   void connectionWithUnwrittenBytesIsNotIdle() {
     connection.requestStarted(response);
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryFixture.java
@@ -43,7 +43,7 @@
   /** A request that was received by the server, with the response to it. */
   static final class ReceivedRequest implements CallerAnswer.Flow {
     final CallerAnswer response;
-    private final CountDownLatch disconnected = new CountDownLatch(1);
+    private final CountDownLatch disconnectLatch = new CountDownLatch(1);
     private final AtomicInteger disconnects = new AtomicInteger();
 
     ReceivedRequest(CallerAnswer response) {
@@ -56,12 +56,12 @@
     @Override
     public void gone() {
       disconnects.incrementAndGet();
-      disconnected.countDown();
+      disconnectLatch.countDown();
     }
 
     /** Waits until the caller was reported as disconnected. */
     void awaitDisconnect() throws InterruptedException {
-      if (!disconnected.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+      if (!disconnectLatch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
         throw new IllegalStateException("the caller was not reported as disconnected");
       }
     }
--- a/vaneworks/src/main/java/org/vaneworks/transport/SendFailures.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/SendFailures.java
@@ -23,7 +23,7 @@
 
   /**
    * Returns whether the failure proves that the remote box is up and refused the connection. A
-   * connect timeout proves nothing of the kind.
+   * connect timeout is no such proof.
    */
   public static boolean connectionRefused(Throwable failure) {
     List<Throwable> chain = Throwables.getCausalChain(failure);
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/CallerConnection.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/CallerConnection.java
@@ -42,7 +42,7 @@
 
   /**
    * Maximum interval between checks of an idle connection; a changed idle timeout takes effect
-   * within this time. Few idle periods last longer, and the timer costs more than the check itself.
+   * within this time. Few idle periods last longer, and a wakeup costs more than the check itself.
    */
   private static final Duration IDLE_CHECK_INTERVAL = Duration.ofSeconds(5);
 
@@ -137,7 +137,8 @@
 
   @Override
   public void requestEnded(PendingResponse ended) {
-    // With pipelining, the next request may have started before this response ended.
+    // With pipelining, the next request starts with the last byte of the previous response, which
+    // may therefore have been replaced already.
     if (ended == response) {
       requestInProgress = false;
       awaitNextRequest();
