--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
@@ -81,7 +81,7 @@
   private final EndpointConnections connections;
   private final EntryAdapters adapters;
   private final Counters counters;
-  private final CallerConnections callerConnections = CallerConnections.none();
+  private final CallerConnections callerConnections = CallerConnections.create();
   private HttpServerContext callers;
   private HttpServerContext readiness;
   private Optional<HttpServerContext> metrics = Optional.empty();
@@ -181,8 +181,8 @@
   }
 
   private void forgetConnections(TrackedEndpoint endpoint) {
-    connections.forget(endpoint.address());
-    adapters.engines().closeConnections(endpoint.address());
+connections.closeConnections(endpoint.address());
+adapters.engines().closeConnections(endpoint.address());
   }
 
   private long configurationVersion() {
@@ -385,7 +385,7 @@
 
   /** Returns requests under way, those included whose answers wait for callers that read slowly. */
   private int underWay() {
-    return Math.max(forwarder.inFlight(), callerConnections.answering());
+    return Math.max(forwarder.inFlight(), callerConnections.activeCount());
   }
 
   private void closeSockets(CompletableFuture<Integer> stopped) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/PlainHeaders.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/StubHeaderDialect.java
@@ -8,8 +8,8 @@
 import org.vaneworks.state.EndpointSignal;
 import org.vaneworks.state.HostPort;
 
-/** Headers that carry nothing; each request has the same id. */
-final class PlainHeaders implements HeaderDialect {
+/** A dialect that reads and writes no headers; each request has the same ID. */
+final class StubHeaderDialect implements HeaderDialect {
   @Override
   public Optional<String> requestId(HttpHeaders headers) {
     return Optional.of("q1");
@@ -21,7 +21,7 @@
   }
 
   @Override
-  public Optional<Duration> patience(HttpHeaders headers) {
+  public Optional<Duration> callerTimeout(HttpHeaders headers) {
     return Optional.empty();
   }
 
@@ -31,7 +31,7 @@
   }
 
   @Override
-  public void address(HttpHeaders headers, Attempt attempt) {}
+  public void rewriteForEndpoint(HttpHeaders headers, Attempt attempt) {}
 
   @Override
   public boolean notRun(int status, HttpHeaders headers) {
