--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
@@ -181,8 +181,8 @@
   }
 
   private void forgetConnections(TrackedEndpoint endpoint) {
-connections.closeConnections(endpoint.address());
-adapters.engines().closeConnections(endpoint.address());
+    connections.closeConnections(endpoint.address());
+    adapters.engines().closeConnections(endpoint.address());
   }
 
   private long configurationVersion() {
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/CallerCloseReasonTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/CallerCloseReasonTest.java
@@ -115,10 +115,10 @@
 
   // Guards against counting an abort by the node as a caller's close.
   @Test
-void abortOfResponseIsCounted()throws Exception{
-try(Socket caller=server.connect()){
-EntryFixture.ReceivedRequest request=startResponse(caller);
-server.runOnEventLoop(request.response::abort);
+  void abortOfResponseIsCounted() throws Exception {
+    try (Socket caller = server.connect()) {
+      EntryFixture.ReceivedRequest request = startResponse(caller);
+      server.runOnEventLoop(request.response::abort);
       readToEnd(caller);
     }
     assertCountedAs(CloseReason.ABORTED);
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EndpointConnectionsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EndpointConnectionsTest.java
@@ -77,9 +77,9 @@
       CompletableFuture<EndpointCall> sent = new CompletableFuture<>();
       InetSocketAddress address = (InetSocketAddress) reserved.getLocalSocketAddress();
       io.execute(() -> sent.complete(connections.send(attempt(address), outcome)));
-assertFalse(outcome.answered.get(TIMEOUT_SECONDS,TimeUnit.SECONDS));
-assertFalse(sent.get(TIMEOUT_SECONDS,TimeUnit.SECONDS).mayHaveArrived());
-assertInstanceOf(ConnectionRefusedException.class,outcome.cause);
+      assertFalse(outcome.answered.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+      assertFalse(sent.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).mayHaveArrived());
+      assertInstanceOf(ConnectionRefusedException.class, outcome.cause);
     }
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryFixture.java
@@ -41,22 +41,22 @@
   private static final int RECEIVE_BUFFER_BYTES = 4096;
 
   /** A request that was received by the server, with the response to it. */
-static final class ReceivedRequest implements CallerResponse.Listener{
-final CallerResponse response;
-private final CountDownLatch disconnectLatch=new CountDownLatch(1);
-private final AtomicInteger disconnects=new AtomicInteger();
+  static final class ReceivedRequest implements CallerResponse.Listener {
+    final CallerResponse response;
+    private final CountDownLatch disconnectLatch = new CountDownLatch(1);
+    private final AtomicInteger disconnects = new AtomicInteger();
 
-ReceivedRequest(CallerResponse response){
-this.response=response;
+    ReceivedRequest(CallerResponse response) {
+      this.response = response;
     }
 
     @Override
     public void drained() {}
 
     @Override
-public void disconnected(){
-disconnects.incrementAndGet();
-disconnectLatch.countDown();
+    public void disconnected() {
+      disconnects.incrementAndGet();
+      disconnectLatch.countDown();
     }
 
     /** Waits until the caller was reported as disconnected. */
@@ -111,9 +111,9 @@
     closing = true;
   }
 
-private CallerResponse.Listener receive(CallerRequest request,CallerResponse response){
-ReceivedRequest next=new ReceivedRequest(response);
-received.add(next);
+  private CallerResponse.Listener receive(CallerRequest request, CallerResponse response) {
+    ReceivedRequest next = new ReceivedRequest(response);
+    received.add(next);
     return next;
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryResponseTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/EntryResponseTest.java
@@ -41,15 +41,15 @@
     public void aborted() {}
   }
 
-private static final class RecordingListener implements CallerResponse.Listener{
-private int disconnects;
+  private static final class RecordingListener implements CallerResponse.Listener {
+    private int disconnects;
 
     @Override
     public void drained() {}
 
     @Override
-public void disconnected(){
-disconnects++;
+    public void disconnected() {
+      disconnects++;
     }
   }
 
@@ -65,11 +65,11 @@
     body.cancel();
     assertEquals(1, listener.disconnects);
     assertEquals(1, connection.ends);
-assertTrue(entryResponse.isTerminated());
-entryResponse.callerDisconnected();
-entryResponse.end();
-entryResponse.abort();
-assertEquals(1,listener.disconnects);
+    assertTrue(entryResponse.isTerminated());
+    entryResponse.callerDisconnected();
+    entryResponse.end();
+    entryResponse.abort();
+    assertEquals(1, listener.disconnects);
     assertEquals(1, connection.ends);
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/RemovedEndpointTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/RemovedEndpointTest.java
@@ -57,8 +57,8 @@
     private final StringBuilder text = new StringBuilder();
 
     @Override
-public void head(ResponseHead head){
-headReceived.complete(null);
+    public void head(ResponseHead head) {
+      headReceived.complete(null);
     }
 
     @Override
--- a/vaneworks/src/main/java/org/vaneworks/transport/BoundedBody.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/BoundedBody.java
@@ -28,8 +28,9 @@
    */
   @CanIgnoreReturnValue
   BoundedBody add(Buffer part) {
-if(bytes.size()+part.readableBytes()>maxBytes){
-throw Refusal.nothingSent(Reason.BODY_TOO_LARGE,"allowed: "+maxBytes+" bytes").toException();
+    if (bytes.size() + part.readableBytes() > maxBytes) {
+      throw Refusal.nothingSent(Reason.BODY_TOO_LARGE, "allowed: " + maxBytes + " bytes")
+          .toException();
     }
     byte[] copy = new byte[part.readableBytes()];
     part.readBytes(copy);
--- a/vaneworks/src/main/java/org/vaneworks/transport/CallerServer.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/CallerServer.java
@@ -90,8 +90,8 @@
   private Single<StreamingHttpResponse> handleFailure(
       StreamingHttpRequest request, CallerResponses responses, Throwable failure) {
     Refusal refusal = refusalOf(failure);
-node.dispatcher().count(refusal);
-StreamingHttpResponse response=responses.problem(refusal);
+    node.dispatcher().count(refusal);
+    StreamingHttpResponse response = responses.problem(refusal);
     if (refusal.reason() == Reason.METHOD_NOT_ALLOWED) {
       response.setHeader(HttpHeaderNames.ALLOW, allowedMethod(request.path()).name());
     }
@@ -124,12 +124,12 @@
       return service(path, request, responses);
     }
     return switch (request.path()) {
-case TICKETS_PATH->tickets(request,responses);
-case "/health/live"->text(request,responses,HttpResponseStatus.OK,"live\n");
-case "/health/ready"->readiness(request,responses);
-case "/metrics"->text(request,responses,HttpResponseStatus.OK,metrics.get());
-case "/status"->status(request,responses);
-default->throw Refusal.nothingSent(Reason.UNKNOWN_PATH,request.path()).toException();
+      case TICKETS_PATH -> tickets(request, responses);
+      case "/health/live" -> text(request, responses, HttpResponseStatus.OK, "live\n");
+      case "/health/ready" -> readiness(request, responses);
+      case "/metrics" -> text(request, responses, HttpResponseStatus.OK, metrics.get());
+      case "/status" -> status(request, responses);
+      default -> throw Refusal.nothingSent(Reason.UNKNOWN_PATH, request.path()).toException();
     };
   }
 
@@ -145,10 +145,11 @@
     return body(request)
         .flatMap(
             text -> {
-CallerJson.ParsedCompletion parsed=CallerJson.readCompletion(text);
-CompletionResponse response=new CompletionResponse(responses,parsed.stream());
-Runnable cancel=node.dispatcher().complete(workspace,parsed.body(),options,response);
-return response.response(cancel);
+              CallerJson.ParsedCompletion parsed = CallerJson.readCompletion(text);
+              CompletionResponse response = new CompletionResponse(responses, parsed.stream());
+              Runnable cancel =
+                  node.dispatcher().complete(workspace, parsed.body(), options, response);
+              return response.response(cancel);
             });
   }
 
@@ -164,8 +165,10 @@
               ServiceCall call =
                   new ServiceCall(request.method().name(), target, text, responses.requestId());
               CompletableFuture<ServiceReply> reply =
-node.dispatcher().call(path.get(2),path.get(4),call,options);
-return Single.fromStage(reply).map(responses::serviceReply).onErrorReturn(responses::alreadyCounted);
+                  node.dispatcher().call(path.get(2), path.get(4), call, options);
+              return Single.fromStage(reply)
+                  .map(responses::serviceReply)
+                  .onErrorReturn(responses::alreadyCounted);
             });
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/transport/CompletionResponse.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/CompletionResponse.java
@@ -75,8 +75,8 @@
   @Override
   public void complete() {
     if (!streamed) {
-String body=CallerJson.writeCompletion(responses.requestId(),tokens);
-response.complete(responses.withBody(HttpResponseStatus.OK,"application/json",body));
+      String body = CallerJson.writeCompletion(responses.requestId(), tokens);
+      response.complete(responses.withBody(HttpResponseStatus.OK, "application/json", body));
       return;
     }
     startStream();
--- a/vaneworks/src/main/java/org/vaneworks/transport/PeerClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/PeerClient.java
@@ -61,9 +61,11 @@
     counters.count(Metric.PEER_MESSAGES, request.getClass().getSimpleName() + "-out");
     Connection connection =
         connections.compute(
-peer,(address,existing)->existing==null||existing.isClosed()?open(address):existing);
-PeerException timeoutFailure=PeerException.unanswered(peer+" did not reply in "+timeout);
-return Async.withTimeout(executor,timeout,connection.ask(request),timeoutFailure);
+            peer,
+            (address, existing) ->
+                existing == null || existing.isClosed() ? open(address) : existing);
+    PeerException timeoutFailure = PeerException.unanswered(peer + " did not reply in " + timeout);
+    return Async.withTimeout(executor, timeout, connection.ask(request), timeoutFailure);
   }
 
   private Connection open(HostPort peer) {
@@ -146,10 +148,10 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, byte[] frame) {
-PeerCodec.NumberedMessage reply=PeerCodec.decode(frame);
-CompletableFuture<PeerMessage>pendingReply=pending.remove(reply.id());
-if(pendingReply!=null){
-pendingReply.complete(reply.message());
+      PeerCodec.NumberedMessage reply = PeerCodec.decode(frame);
+      CompletableFuture<PeerMessage> pendingReply = pending.remove(reply.id());
+      if (pendingReply != null) {
+        pendingReply.complete(reply.message());
       }
     }
 
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointConnections.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointConnections.java
@@ -40,7 +40,7 @@
  *
  * <p>ServiceTalk's own retries are disabled. Confined to the node's event loop.
  */
-public final class EndpointConnections implements EndpointTransport{
+public final class EndpointConnections implements EndpointTransport {
   /**
    * An endpoint in the same region accepts within a few ms; a lost packet is retransmitted after
    * 200 ms.
@@ -228,9 +228,9 @@
     public void onError(Throwable cause) {
       finish();
       if (!discarded && !cancelled) {
-boolean refused=SendFailures.connectionRefused(cause);
-Throwable reported=refused?new ConnectionRefusedException(cause):cause;
-listener.failed(body==null&&SendFailures.neverSent(cause),reported);
+        boolean refused = SendFailures.connectionRefused(cause);
+        Throwable reported = refused ? new ConnectionRefusedException(cause) : cause;
+        listener.failed(body == null && SendFailures.neverSent(cause), reported);
       }
     }
 
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryRequest.java
@@ -56,8 +56,8 @@
   }
 
   @Override
-public Optional<Duration>callerTimeout(){
-return dialect.callerTimeout(head.headers());
+  public Optional<Duration> callerTimeout() {
+    return dialect.callerTimeout(head.headers());
   }
 
   @Override
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryResponse.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryResponse.java
@@ -20,11 +20,11 @@
  * The response to one caller's request, as a ServiceTalk response. Confined to the node's event
  * loop.
  */
-final class EntryResponse implements CallerResponse,PendingResponse{
+final class EntryResponse implements CallerResponse, PendingResponse {
   /** Receives the events of a response that concern its connection. */
-interface ConnectionListener{
+  interface ConnectionListener {
     /** Called when a response is complete or aborted, or when its caller has disconnected. */
-void requestEnded(PendingResponse ended);
+    void requestEnded(PendingResponse ended);
 
     /** Called when the connection will be closed after the response. */
     void closesAfterResponse();
@@ -38,9 +38,10 @@
   private final BooleanSupplier closing;
   private final SingleSource.Processor<StreamingHttpResponse, StreamingHttpResponse> response =
       Processors.newSingleProcessor();
-private final ResponseBody body=new ResponseBody(()->listener().drained(),this::callerDisconnected);
-private Flow listener;
-private final ConnectionListener connection;
+  private final ResponseBody body =
+      new ResponseBody(() -> listener().drained(), this::callerDisconnected);
+  private CallerResponse.Listener listener;
+  private final ConnectionListener connection;
   private boolean headSent;
   private boolean ended;
   private boolean disconnected;
@@ -64,12 +65,12 @@
   }
 
   /** Sets the listener for events of the caller. */
-void listener(Flow newListener){
-listener=newListener;
+  void listener(CallerResponse.Listener newListener) {
+    listener = newListener;
   }
 
-private Flow listener(){
-return listener;
+  private CallerResponse.Listener listener() {
+    return listener;
   }
 
   /** Returns the ServiceTalk response, which completes when the head is known. */
@@ -88,12 +89,12 @@
   }
 
   @Override
-public void callerDisconnected(){
-if(!ended){
-disconnected=true;
-recordEnd();
-if(listener!=null){
-listener.disconnected();
+  public void callerDisconnected() {
+    if (!ended) {
+      disconnected = true;
+      recordEnd();
+      if (listener != null) {
+        listener.disconnected();
       }
     }
   }
@@ -106,8 +107,8 @@
   }
 
   /** Refuses a request of which nothing was forwarded. */
-Single<StreamingHttpResponse>refuseUnsent(Reason reason,String detail){
-refuse(Refusal.nothingSent(reason,detail));
+  Single<StreamingHttpResponse> refuseUnsent(Reason reason, String detail) {
+    refuse(Refusal.nothingSent(reason, detail));
     return response();
   }
 
@@ -121,12 +122,12 @@
   }
 
   @Override
-public void head(ResponseHead head){
-var endpointResponse=((EndpointResponseHead)head).response();
-StreamingHttpResponse callerResponse=factory.newResponse(endpointResponse.status());
-callerResponse.headers().set(endpointResponse.headers());
-HopByHopHeaders.remove(callerResponse.headers());
-addCloseHeaderIfNeeded(callerResponse);
+  public void head(ResponseHead head) {
+    var endpointResponse = ((EndpointResponseHead) head).response();
+    StreamingHttpResponse callerResponse = factory.newResponse(endpointResponse.status());
+    callerResponse.headers().set(endpointResponse.headers());
+    HopByHopHeaders.remove(callerResponse.headers());
+    addCloseHeaderIfNeeded(callerResponse);
     headSent = true;
     callerResponse.payloadBody(SourceAdapters.fromSource(body));
     response.onSuccess(callerResponse);
@@ -151,8 +152,8 @@
   }
 
   @Override
-public void abort(){
-connection.aborted();
+  public void abort() {
+    connection.aborted();
     body.fail(new ClosedChannelException());
     recordEnd();
   }
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryServer.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EntryServer.java
@@ -39,9 +39,9 @@
 public final class EntryServer {
   /** Handles requests whose body has been read completely. */
   @FunctionalInterface
-public interface RequestHandler{
+  public interface RequestHandler {
     /** Handles a request; the returned listener receives later events of the caller. */
-CallerResponse.Listener handle(CallerRequest request,CallerResponse response);
+    CallerResponse.Listener handle(CallerRequest request, CallerResponse response);
   }
 
   /** Colon, space, CR and LF of a header line. */
