--- a/vaneworks-daemon/src/test/java/org/vaneworks/daemon/DaemonSettingsChangeTest.java
+++ b/vaneworks-daemon/src/test/java/org/vaneworks/daemon/DaemonSettingsChangeTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Checks that each field that a changed file would change is named. */
+/** Tests the detection of fields that differ between two settings files. */
 final class DaemonSettingsChangeTest {
-  private static final String GOOD =
+  private static final String VALID_SETTINGS =
       "name: n1\ndataCentre: dc1\ncallers: 127.0.0.1:1\npeers: 127.0.0.1:2\nplatform: 127.0.0.1:3\n";
 
   @TempDir private Path folder;
@@ -21,13 +21,13 @@
   }
 
   @Test
-  void sameFileChangesNothing() throws IOException {
-    assertEquals(List.of(), read(GOOD).changedFields(read(GOOD)));
+  void equalSettingsHaveNoChangedFields() throws IOException {
+    assertEquals(List.of(), read(VALID_SETTINGS).changedFields(read(VALID_SETTINGS)));
   }
 
   @Test
-  void eachFieldThatDiffersIsNamed() throws IOException {
-    DaemonSettings next = read(GOOD + "workers: 7\nstop: {balancerLagMs: 1}\n");
-    assertEquals(List.of("workers", "stop"), read(GOOD).changedFields(next));
+  void eachChangedFieldIsReported() throws IOException {
+    DaemonSettings changed = read(VALID_SETTINGS + "workers: 7\nstop: {balancerLagMs: 1}\n");
+    assertEquals(List.of("workers", "stop"), read(VALID_SETTINGS).changedFields(changed));
   }
 }
--- a/vaneworks-daemon/src/test/java/org/vaneworks/daemon/entry/EntrySettingsTest.java
+++ b/vaneworks-daemon/src/test/java/org/vaneworks/daemon/entry/EntrySettingsTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Checks a forwarding node's settings: what is refused, and what a change may touch. */
+/** Tests the validation of a forwarding node's settings, and their reload. */
 final class EntrySettingsTest {
-  private static final String GOOD =
+  private static final String VALID_SETTINGS =
       "name: n1\ndataCentre: dc1\ncallers: 127.0.0.1:1\nreadiness: 127.0.0.1:2\nstore: 127.0.0.1:3\n";
 
   @TempDir private Path folder;
@@ -25,30 +25,33 @@
   }
 
   @Test
-  void metricsNeedNotBeServed() throws IOException {
-    assertEquals(Optional.empty(), read(GOOD).metrics());
+  void metricsAddressIsOptional() throws IOException {
+    assertEquals(Optional.empty(), read(VALID_SETTINGS).metrics());
   }
 
   @Test
-  void everyProblemIsToldAtOnce() {
-    String text = GOOD.replace("127.0.0.1:3", "store.example:3") + "retryShare: 2\nx: 1\n";
-    String told = assertThrows(IllegalArgumentException.class, () -> read(text)).getMessage();
-    assertTrue(told.contains("store: is store.example:3"), told);
-    assertTrue(told.contains("retryShare: is 2.0"), told);
-    assertTrue(told.contains("x: is not a known field"), told);
+  void everyRejectedFieldIsReported() {
+    String text =
+        VALID_SETTINGS.replace("127.0.0.1:3", "store.example:3") + "retryShare: 2\nx: 1\n";
+    String message = assertThrows(IllegalArgumentException.class, () -> read(text)).getMessage();
+    assertTrue(message.contains("store: is store.example:3"), message);
+    assertTrue(message.contains("retryShare: is 2.0"), message);
+    assertTrue(message.contains("x: is not a known field"), message);
   }
 
   @Test
-  void addressThatChangedIsNamed() throws IOException {
-    EntrySettings next = read(GOOD.replace("127.0.0.1:1", "127.0.0.1:9") + "stopGraceSeconds: 3\n");
-    assertEquals(List.of("callers"), read(GOOD).changedFixedFields(next));
+  void changedAddressNeedsARestart() throws IOException {
+    EntrySettings changed =
+        read(VALID_SETTINGS.replace("127.0.0.1:1", "127.0.0.1:9") + "stopGraceSeconds: 3\n");
+    assertEquals(List.of("callers"), read(VALID_SETTINGS).changedFixedFields(changed));
   }
 
   @Test
-  void boundsAreTakenAndAddressesKept() throws IOException {
-    EntrySettings next = read(GOOD.replace("127.0.0.1:1", "127.0.0.1:9") + "stopGraceSeconds: 3\n");
-    EntrySettings taken = read(GOOD).withReloadableFieldsOf(next);
-    assertEquals(Duration.ofSeconds(3), taken.stopGrace());
-    assertEquals(read(GOOD).callers(), taken.callers());
+  void reloadAppliesLimitsAndKeepsAddresses() throws IOException {
+    EntrySettings changed =
+        read(VALID_SETTINGS.replace("127.0.0.1:1", "127.0.0.1:9") + "stopGraceSeconds: 3\n");
+    EntrySettings reloaded = read(VALID_SETTINGS).withReloadableFieldsOf(changed);
+    assertEquals(Duration.ofSeconds(3), reloaded.stopGrace());
+    assertEquals(read(VALID_SETTINGS).callers(), reloaded.callers());
   }
 }
--- a/vaneworks-daemon/src/test/java/org/vaneworks/daemon/entry/WatchTimingTest.java
+++ b/vaneworks-daemon/src/test/java/org/vaneworks/daemon/entry/WatchTimingTest.java
@@ -6,54 +6,58 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
+/** Tests the timing of watches for revocation times and fleet sizes. */
 final class WatchTimingTest {
-  /** Part of the revocation time in which the node serves; see EntryNode. */
-  private static final double SERVES_FOR = 0.95;
+  /** Maximum age of the confirmed configuration of a serving node; see {@link EntryNode}. */
+  private static final double CONFIGURATION_AGE_FRACTION = 0.95;
 
   @Test
-  void viewStaysYoungEnoughToServeWhileASlowStoreAnswers() {
+  void configurationStaysFreshWithASlowStore() {
     for (int seconds = 1; seconds <= 60; seconds++) {
       Duration revocation = Duration.ofSeconds(seconds);
-      WatchTiming times = WatchTiming.within(revocation, 350);
+      WatchTiming timing = WatchTiming.within(revocation, 350);
       Duration slowStore = revocation.dividedBy(10);
 
-      Duration oldest = times.watchWait().multipliedBy(2).plus(times.pause()).plus(slowStore);
+      Duration maxAge = timing.watchWait().multipliedBy(2).plus(timing.pause()).plus(slowStore);
 
-      assertTrue(oldest.toNanos() < revocation.toNanos() * SERVES_FOR, "at " + seconds);
+      assertTrue(
+          maxAge.toNanos() < revocation.toNanos() * CONFIGURATION_AGE_FRACTION,
+          "revocation time: " + seconds + " s");
     }
   }
 
   @Test
-  void nodeServesOnForThreeTenthsOfTheTimeWhenTheStoreGoesAway() {
+  void nodeServesForThreeTenthsOfRevocationTimeWithoutStore() {
     Duration revocation = Duration.ofSeconds(5);
     for (int nodes : new int[] {8, 32, 48, 64, 350}) {
-      WatchTiming times = WatchTiming.within(revocation, nodes);
+      WatchTiming timing = WatchTiming.within(revocation, nodes);
 
-      Duration oldest = times.watchWait().multipliedBy(2).plus(times.pause());
+      Duration maxAge = timing.watchWait().multipliedBy(2).plus(timing.pause());
 
-      double servesOn = revocation.toNanos() * SERVES_FOR - oldest.toNanos();
-      assertTrue(servesOn >= revocation.toNanos() * 0.29, nodes + " nodes: " + servesOn);
+      double servingNanos = revocation.toNanos() * CONFIGURATION_AGE_FRACTION - maxAge.toNanos();
+      assertTrue(
+          servingNanos >= revocation.toNanos() * 0.29, nodes + " nodes: " + servingNanos + " ns");
     }
   }
 
   @Test
-  void smallFleetServesOnForAThirdOfTheTime() {
+  void smallFleetServesForAThirdOfRevocationTimeWithoutStore() {
     Duration revocation = Duration.ofSeconds(5);
-    WatchTiming times = WatchTiming.within(revocation, 8);
+    WatchTiming timing = WatchTiming.within(revocation, 8);
 
-    Duration oldest = times.watchWait().multipliedBy(2).plus(times.pause());
+    Duration maxAge = timing.watchWait().multipliedBy(2).plus(timing.pause());
 
-    double servesOn = revocation.toNanos() * SERVES_FOR - oldest.toNanos();
-    assertTrue(servesOn >= revocation.toNanos() / 3.0, "serves on for " + servesOn);
+    double servingNanos = revocation.toNanos() * CONFIGURATION_AGE_FRACTION - maxAge.toNanos();
+    assertTrue(servingNanos >= revocation.toNanos() / 3.0, "serves for " + servingNanos + " ns");
   }
 
   @Test
-  void longRevocationTimeDoesNotDelayTheEndOfASilentWatch() {
+  void watchWaitIsBoundedForLongRevocationTimes() {
     assertEquals(Duration.ofSeconds(3), WatchTiming.within(Duration.ofMinutes(1), 8).watchWait());
   }
 
   @Test
-  void largeFleetCallsLessOften() {
+  void pauseGrowsWithFleetSize() {
     Duration revocation = Duration.ofSeconds(5);
     assertEquals(Duration.ofMillis(500), WatchTiming.within(revocation, 8).pause());
     assertEquals(Duration.ofMillis(500), WatchTiming.within(revocation, 32).pause());
--- a/vaneworks-daemon/src/test/java/org/vaneworks/daemon/logging/BoundedAppenderTest.java
+++ b/vaneworks-daemon/src/test/java/org/vaneworks/daemon/logging/BoundedAppenderTest.java
@@ -17,6 +17,7 @@
 import org.slf4j.event.KeyValuePair;
 import org.vaneworks.protocol.Json;
 
+/** Tests the limits and the output format of {@link BoundedAppender}. */
 final class BoundedAppenderTest {
   private static final long NOON = 1_700_000_000_000L;
 
@@ -26,9 +27,9 @@
   private final LoggerContext context = new LoggerContext();
 
   @Test
-  void lineIsOneJsonObjectWithThePairsInOrder() {
+  void eventIsWrittenAsOneJsonLine() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    BoundedAppender appender = started(out);
+    BoundedAppender appender = startAppender(out);
 
     appender.doAppend(event(NOON, "VW4008", new KeyValuePair("request", "q\"1\n")));
     assertTrue(appender.finish(HANG_MILLIS));
@@ -43,29 +44,29 @@
   }
 
   @Test
-  void readerThatStandsStillHoldsUpNoCaller() {
-    CountDownLatch reading = new CountDownLatch(1);
-    ByteArrayOutputStream read = new ByteArrayOutputStream();
-    BoundedAppender appender = started(blockedUntil(reading, read));
+  void blockedOutputDoesNotBlockLogging() {
+    CountDownLatch unblocked = new CountDownLatch(1);
+    ByteArrayOutputStream written = new ByteArrayOutputStream();
+    BoundedAppender appender = startAppender(blockingStream(unblocked, written));
 
-    int sent = 4 * BoundedAppender.MAX_QUEUED_LINES;
-    for (int i = 0; i < sent; i++) {
+    int logged = 4 * BoundedAppender.MAX_QUEUED_LINES;
+    for (int i = 0; i < logged; i++) {
       appender.doAppend(event(NOON + 1000L * i, "VW4008"));
     }
-    // The caller got here although nothing was read yet.
-    assertEquals(0, read.size());
-    reading.countDown();
+    // All calls have returned although nothing has been written.
+    assertEquals(0, written.size());
+    unblocked.countDown();
     assertTrue(appender.finish(HANG_MILLIS));
 
-    long written = read.toString(StandardCharsets.UTF_8).lines().count();
-    assertTrue(written >= BoundedAppender.MAX_QUEUED_LINES, "written: " + written);
-    assertEquals(sent, written + appender.unreportedDrops().get("VW4008"));
+    long writtenLines = written.toString(StandardCharsets.UTF_8).lines().count();
+    assertTrue(writtenLines >= BoundedAppender.MAX_QUEUED_LINES, "written: " + writtenLines);
+    assertEquals(logged, writtenLines + appender.unreportedDrops().get("VW4008"));
   }
 
   @Test
-  void burstOfOneEventLeavesRoomForAnother() {
+  void burstOfOneEventDoesNotDisplaceAnother() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    BoundedAppender appender = started(out);
+    BoundedAppender appender = startAppender(out);
 
     for (int i = 0; i < 3 * BoundedAppender.MAX_LINES_PER_EVENT_AND_SECOND; i++) {
       appender.doAppend(event(NOON, "VW4008"));
@@ -85,9 +86,9 @@
   }
 
   @Test
-  void nextSecondHasRoomAgain() {
+  void limitPerEventAppliesToEachSecond() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    BoundedAppender appender = started(out);
+    BoundedAppender appender = startAppender(out);
 
     for (int i = 0; i <= BoundedAppender.MAX_LINES_PER_EVENT_AND_SECOND; i++) {
       appender.doAppend(event(NOON, "VW4008"));
@@ -100,28 +101,29 @@
         out.toString(StandardCharsets.UTF_8).lines().count());
   }
 
-  private BoundedAppender started(OutputStream out) {
+  private BoundedAppender startAppender(OutputStream out) {
     BoundedAppender appender = BoundedAppender.to(out);
     appender.setContext(context);
     appender.start();
     return appender;
   }
 
-  private LoggingEvent event(long time, String number, KeyValuePair... pairs) {
+  private LoggingEvent event(long time, String eventCode, KeyValuePair... pairs) {
     LoggingEvent event = new LoggingEvent();
     event.setLoggerContext(context);
     event.setLoggerName("vaneworks");
     event.setLevel(Level.INFO);
     event.setMessage("something happened");
     event.setTimeStamp(time);
-    event.addKeyValuePair(new KeyValuePair("event", number));
+    event.addKeyValuePair(new KeyValuePair("event", eventCode));
     for (KeyValuePair pair : pairs) {
       event.addKeyValuePair(pair);
     }
     return event;
   }
 
-  private static OutputStream blockedUntil(CountDownLatch opened, ByteArrayOutputStream to) {
+  private static OutputStream blockingStream(
+      CountDownLatch unblocked, ByteArrayOutputStream target) {
     return new OutputStream() {
       @Override
       public void write(int value) {
@@ -133,7 +135,7 @@
         boolean interrupted = false;
         while (true) {
           try {
-            opened.await();
+            unblocked.await();
             break;
           } catch (InterruptedException e) {
             interrupted = true;
@@ -142,7 +144,7 @@
         if (interrupted) {
           Thread.currentThread().interrupt();
         }
-        to.write(bytes, offset, length);
+        target.write(bytes, offset, length);
       }
     };
   }
