--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/DaemonSettings.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/DaemonSettings.java
@@ -120,7 +120,7 @@
     Duration minProgress = millis(fields, "leastProgressMs", defaults.leastProgress());
     Duration stepTimeout = millis(fields, "stepTimeoutMs", defaults.stepTimeout());
     if (minProgress.compareTo(stepTimeout) > 0) {
-      fields.reject("leastProgressMs", "must not be over stepTimeoutMs");
+      fields.reject("leastProgressMs", "must not exceed stepTimeoutMs");
       minProgress = stepTimeout;
     }
     EndpointLimits limits =
@@ -150,7 +150,7 @@
     Duration balancerLag = millis(fields, "balancerLagMs", defaults.balancerLag());
     Duration deadline = millis(fields, "deadlineMs", defaults.deadline());
     if (balancerLag.compareTo(deadline) > 0) {
-      fields.reject("balancerLagMs", "must not be over deadlineMs");
+      fields.reject("balancerLagMs", "must not exceed deadlineMs");
       balancerLag = deadline;
     }
     fields.rejectUnknown();
--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EndpointListWatch.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EndpointListWatch.java
@@ -64,8 +64,8 @@
   }
 
   @Override
-  public void silent(StoreSilence silence) {
-    fleet.noteStoreSilent(silence.lastCallBegunAt(), silence.lastPosition());
+  public void silent(StoreSilence outage) {
+    fleet.noteStoreSilent(outage.lastCallBegunAt(), outage.lastPosition());
   }
 
   @Override
--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
@@ -108,13 +108,14 @@
     adapters.engines().onStatement(fleet.statements()::answeredCall);
     peerVersions = new PeerConfigurationVersions(io);
     SharedStore store = MeasuredStore.of(io, adapters.store(), counters);
-    SuspensionWatch suspensions = SuspensionWatch.create(io, System::currentTimeMillis, counters);
+    SuspensionWatch suspensionDetector =
+        SuspensionWatch.create(io, System::currentTimeMillis, counters);
     lease =
         NodeLease.create(
             io,
             random,
             store,
-            suspensions,
+            suspensionDetector,
             NODE_PREFIX,
             settings.name(),
             settings.dataCentre(),
@@ -162,7 +163,7 @@
                     lease,
                     QUARANTINE_PREFIX,
                     quarantine)),
-            suspensions);
+            suspensionDetector);
     placement =
         PlacementController.create(
             io,
--- a/vaneworks-daemon/src/test/java/org/vaneworks/daemon/entry/WatchTimingTest.java
+++ b/vaneworks-daemon/src/test/java/org/vaneworks/daemon/entry/WatchTimingTest.java
@@ -22,7 +22,7 @@
 
       assertTrue(
           maxAge.toNanos() < revocation.toNanos() * CONFIGURATION_AGE_FRACTION,
-          "revocation time: " + seconds + " s");
+          "revocation time in seconds: " + seconds);
     }
   }
 
@@ -36,7 +36,8 @@
 
       double servingNanos = revocation.toNanos() * CONFIGURATION_AGE_FRACTION - maxAge.toNanos();
       assertTrue(
-          servingNanos >= revocation.toNanos() * 0.29, nodes + " nodes: " + servingNanos + " ns");
+          servingNanos >= revocation.toNanos() * 0.29,
+          nodes + " nodes, nanoseconds without the store: " + servingNanos);
     }
   }
 
@@ -48,7 +49,9 @@
     Duration maxAge = timing.watchWait().multipliedBy(2).plus(timing.pause());
 
     double servingNanos = revocation.toNanos() * CONFIGURATION_AGE_FRACTION - maxAge.toNanos();
-    assertTrue(servingNanos >= revocation.toNanos() / 3.0, "serves for " + servingNanos + " ns");
+    assertTrue(
+        servingNanos >= revocation.toNanos() / 3.0,
+        "nanoseconds without the store: " + servingNanos);
   }
 
   @Test
