--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/Daemon.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/Daemon.java
@@ -69,7 +69,8 @@
     HttpSender sender = HttpSender.create(executor);
     EventLoopGroup peerLoop = new NioEventLoopGroup(1);
     SecureRandom random = new SecureRandom();
-NodeDependencies dependencies=new NodeDependencies(
+    NodeDependencies dependencies =
+        new NodeDependencies(
             executor,
             new Random(random.nextLong()),
             HttpPlatformStore.at(sender, settings.platform()),
--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/DaemonSettings.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/DaemonSettings.java
@@ -116,12 +116,12 @@
   }
 
   private static EndpointLimits endpointLimits(FieldReader fields) {
-EndpointLimits defaults=EndpointLimits.defaults();
-Duration minProgress=millis(fields,"leastProgressMs",defaults.minProgressDeadline());
-Duration stepTimeout=millis(fields,"stepTimeoutMs",defaults.stepTimeout());
-if(minProgress.compareTo(stepTimeout)>0){
-fields.reject("leastProgressMs","must not exceed stepTimeoutMs");
-minProgress=stepTimeout;
+    EndpointLimits defaults = EndpointLimits.defaults();
+    Duration minProgress = millis(fields, "leastProgressMs", defaults.minProgressDeadline());
+    Duration stepTimeout = millis(fields, "stepTimeoutMs", defaults.stepTimeout());
+    if (minProgress.compareTo(stepTimeout) > 0) {
+      fields.reject("leastProgressMs", "must not exceed stepTimeoutMs");
+      minProgress = stepTimeout;
     }
     EndpointLimits limits =
         new EndpointLimits(
@@ -137,7 +137,10 @@
     PipelineLimits defaults = PipelineLimits.defaults();
     PipelineLimits limits =
         new PipelineLimits(
-fields.integer("maxReplacements",0,1000,defaults.maxReplacements()),millis(fields,"recoveryPatienceMs",defaults.recoveryTimeout()),millis(fields,"moveOverMs",defaults.migrationThreshold()),fields.integer("replayCharacters",0,1<<30,defaults.replayCharacters()));
+            fields.integer("maxReplacements", 0, 1000, defaults.maxReplacements()),
+            millis(fields, "recoveryPatienceMs", defaults.recoveryTimeout()),
+            millis(fields, "moveOverMs", defaults.migrationThreshold()),
+            fields.integer("replayCharacters", 0, 1 << 30, defaults.replayCharacters()));
     fields.rejectUnknown();
     return limits;
   }
--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
@@ -84,11 +84,11 @@
   private final EndpointConnections connections;
   private final EntryAdapters adapters;
   private final Counters counters;
-private final CallerConnections callerConnections=CallerConnections.create();
-private HttpServerContext callerServer;
-private HttpServerContext readinessServer;
-private Optional<HttpServerContext>metricsServer=Optional.empty();
-private Optional<LoadDatagrams>loadDatagrams=Optional.empty();
+  private final CallerConnections callerConnections = CallerConnections.create();
+  private HttpServerContext callerServer;
+  private HttpServerContext readinessServer;
+  private Optional<HttpServerContext> metricsServer = Optional.empty();
+  private Optional<LoadDatagrams> loadDatagrams = Optional.empty();
   private EntrySettings settings;
   private boolean stopping;
   private boolean closingIdleConnections;
@@ -105,10 +105,11 @@
     this.io = io;
     counters = Counters.in(meters);
     fleet = Fleet.create(io, counters, RELIST_GRACE);
-adapters.engines().onStatement(fleet.signals()::recordCallAnswer);
-peerVersions=new PeerConfigurationVersions(io);
+    adapters.engines().onStatement(fleet.signals()::recordCallAnswer);
+    peerVersions = new PeerConfigurationVersions(io);
     SharedStore store = MeasuredStore.of(io, adapters.store(), counters);
-SuspensionDetector suspensionDetector=SuspensionDetector.create(io,System::currentTimeMillis,counters);
+    SuspensionDetector suspensionDetector =
+        SuspensionDetector.create(io, System::currentTimeMillis, counters);
     lease =
         NodeLease.create(
             io,
@@ -129,8 +130,8 @@
             lease::peers,
             lease::liveNodes,
             this::configurationVersion,
-new DatagramLoadSender());
-RateLimitShares.maintain(
+            new DatagramLoadSender());
+    RateLimitShares.maintain(
         io, random, fleet, settings.name(), settings.dataCentre(), lease::sharingPeers);
     SharedQuarantine quarantine =
         SharedQuarantine.create(
@@ -192,9 +193,9 @@
             counters);
   }
 
-private void closeConnections(TrackedEndpoint endpoint){
-connections.closeConnections(endpoint.address());
-adapters.engines().closeConnections(endpoint.address());
+  private void closeConnections(TrackedEndpoint endpoint) {
+    connections.closeConnections(endpoint.address());
+    adapters.engines().closeConnections(endpoint.address());
   }
 
   private long configurationVersion() {
@@ -206,9 +207,9 @@
         && !peerVersions.storeIsBehind(configurationVersion(), follower.confirmedAt());
   }
 
-private void receiveLoadReport(LoadReport report){
-peerVersions.recordVersion(report.configurationVersion());
-loadExchange.receive(report);
+  private void receiveLoadReport(LoadReport report) {
+    peerVersions.recordVersion(report.configurationVersion());
+    loadExchange.receive(report);
   }
 
   private WatchTiming watchTiming() {
@@ -324,8 +325,9 @@
     return configuration.newest().map(EntryConfiguration::limits).orElse(INITIAL_LIMITS);
   }
 
-private boolean checkReady(){
-boolean ready=!stopping&&forwarder.hasFreshConfiguration()&&(wasReady||allLayersCovered());
+  private boolean checkReady() {
+    boolean ready =
+        !stopping && forwarder.hasFreshConfiguration() && (wasReady || allLayersCovered());
     if (ready && !wasReady) {
       wasReady = true;
       EventLog.info(Event.READY, "endpoints", fleet.size());
@@ -333,9 +335,10 @@
     return ready;
   }
 
-private boolean allLayersCovered(){
-EntryConfiguration current=configuration.newest().get();
-return current.engineServices().stream().allMatch(service->fleet.coversAllLayers(service.name(),service.model().get().layers()));
+  private boolean allLayersCovered() {
+    EntryConfiguration current = configuration.newest().get();
+    return current.engineServices().stream()
+        .allMatch(service -> fleet.coversAllLayers(service.name(), service.model().get().layers()));
   }
 
   /**
@@ -350,8 +353,8 @@
     for (String field : settings.changedFixedFields(next)) {
       EventLog.warn(Event.SETTING_NEEDS_RESTART, "field", field);
     }
-settings=settings.withReloadableFieldsOf(next);
-forwarder.updateLimits(forwardingLimits(settings));
+    settings = settings.withReloadableFieldsOf(next);
+    forwarder.updateLimits(forwardingLimits(settings));
     EventLog.info(
         Event.SETTINGS_READ_AGAIN,
         "keyRevocationMs",
@@ -381,9 +384,9 @@
 
   private void continueStop(long startNanos, CompletableFuture<Integer> stopped) {
     StopPlan plan = StopPlan.within(settings.stopGrace());
-Duration elapsed=Duration.ofNanos(io.currentTime(NANOSECONDS)-startNanos);
-if(!plan.acceptsRequests(elapsed)){
-forwarder.refuseNewRequests();
+    Duration elapsed = Duration.ofNanos(io.currentTime(NANOSECONDS) - startNanos);
+    if (!plan.acceptsRequests(elapsed)) {
+      forwarder.refuseNewRequests();
     }
     if (plan.closesIdleConnections(elapsed) && !closingIdleConnections) {
       closingIdleConnections = true;
@@ -402,8 +405,8 @@
   }
 
   /** Returns the number of active requests, including responses buffered for slow callers. */
-private int activeRequests(){
-return Math.max(forwarder.inFlight(),callerConnections.activeCount());
+  private int activeRequests() {
+    return Math.max(forwarder.inFlight(), callerConnections.activeCount());
   }
 
   private void closeSockets(CompletableFuture<Integer> stopped) {
