--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/ApplyCommand.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/ApplyCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Makes a change, all of it or nothing. */
+/** Applies a configuration change atomically. */
 @Command(name = "apply", description = "Makes a change, all of it or nothing.")
 final class ApplyCommand implements Callable<Integer> {
   @Mixin private StoreOptions store;
@@ -23,8 +23,8 @@
   @Override
   public Integer call() {
     ConfigurationChange change = options.read();
-    OptionalLong only = onlyAt == null ? OptionalLong.empty() : OptionalLong.of(onlyAt);
-    ConfigurationHead head = apply(change, only);
+    OptionalLong expectedVersion = onlyAt == null ? OptionalLong.empty() : OptionalLong.of(onlyAt);
+    ConfigurationHead head = apply(change, expectedVersion);
     long version =
         head.history().stream()
             .filter(record -> record.changeId().equals(change.changeId()))
@@ -39,9 +39,9 @@
     return ExitCodes.OK;
   }
 
-  private ConfigurationHead apply(ConfigurationChange change, OptionalLong only) {
+  private ConfigurationHead apply(ConfigurationChange change, OptionalLong expectedVersion) {
     try {
-      return store.edit(editor -> editor.apply(change, only));
+      return store.edit(editor -> editor.apply(change, expectedVersion));
     } catch (ConflictException e) {
       ArrayNode rows =
           store.edit(editor -> editor.load().thenApply(now -> Difference.between(now, change)));
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/ChangeOptions.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/ChangeOptions.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** What an operator wants changed. */
+/** Command-line options that describe a configuration change. */
 final class ChangeOptions {
   @Parameters(paramLabel = "FILE", arity = "0..*", description = "YAML files, or folders of them.")
   private List<Path> files = new ArrayList<>();
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/Difference.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/Difference.java
@@ -11,15 +11,15 @@
 import org.vaneworks.state.Template;
 import org.vaneworks.state.Workspace;
 
-/** Shows what a change would do to the configuration in force. */
+/** Computes the difference that a change would make to the configuration in force. */
 final class Difference {
   private Difference() {}
 
-  /** Returns one row for each resource that would change. */
-  static ArrayNode between(StoredConfiguration now, ConfigurationChange change) {
+  /** Returns one row for each resource that the change would add, modify or delete. */
+  static ArrayNode between(StoredConfiguration current, ConfigurationChange change) {
     ArrayNode rows = Json.list();
     for (ResourceKey key : change.keys()) {
-      Optional<Record> before = now.resource(key);
+      Optional<Record> before = current.resource(key);
       Optional<Record> after = resource(change, key);
       if (!before.equals(after)) {
         rows.addObject()
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/ExitCodes.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/ExitCodes.java
@@ -1,6 +1,6 @@
 package org.vaneworks.cli;
 
-/** The exit codes of {@code vaneworks}; docs/OPERATIONS.md lists them. */
+/** The exit codes of {@code vaneworks}, which docs/OPERATIONS.md documents. */
 final class ExitCodes {
   static final int OK = 0;
   static final int FAILED = 1;
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/ExplainCommand.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/ExplainCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Says what a verdict, a reason or a log event means. */
+/** Prints the meaning of a verdict, a reason or a log event. */
 @Command(name = "explain", description = "Says what a verdict, reason or log event means.")
 final class ExplainCommand implements Callable<Integer> {
   @Parameters(paramLabel = "CODE", description = "For example NOT_RUN, queue-full or VW1001.")
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/GetCommand.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/GetCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Shows resources. */
+/** Prints one or all resources of a configuration version. */
 @Command(name = "get", description = "Shows resources, all or one.")
 final class GetCommand implements Callable<Integer> {
   @Mixin private StoreOptions store;
@@ -36,8 +36,8 @@
       return ExitCodes.OK;
     }
     ArrayNode rows = Json.list();
-    for (ResourceKey each : stored.snapshot().keys()) {
-      rows.add(ResourceJson.write(stored.resource(each).orElseThrow()));
+    for (ResourceKey resourceKey : stored.snapshot().keys()) {
+      rows.add(ResourceJson.write(stored.resource(resourceKey).orElseThrow()));
     }
     store.print(rows);
     return ExitCodes.OK;
@@ -46,6 +46,6 @@
   private CompletableFuture<StoredConfiguration> load(ConfigurationEditor editor) {
     return version == null
         ? editor.load()
-        : editor.load().thenCompose(now -> editor.archived(now, version));
+        : editor.load().thenCompose(current -> editor.archived(current, version));
   }
 }
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/HistoryCommand.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/HistoryCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Shows the newest changes. */
+/** Prints the most recent configuration changes, newest first. */
 @Command(name = "history", description = "Shows the newest changes, newest first.")
 final class HistoryCommand implements Callable<Integer> {
   @Mixin private StoreOptions store;
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/OutputFormat.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/OutputFormat.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.vaneworks.protocol.Json;
 
-/** The forms that results are printed in. */
+/** The output formats of command results. */
 enum OutputFormat {
   TABLE {
     @Override
@@ -46,11 +46,15 @@
       cells.add(columns.stream().map(name -> cell(row.path(name))).toList());
     }
     StringBuilder text = new StringBuilder();
-    for (List<String> line : cells) {
-      for (int column = 0; column < line.size(); column++) {
-        int at = column;
-        int width = cells.stream().mapToInt(other -> other.get(at).length()).max().orElse(0);
-        text.append(String.format(Locale.ROOT, "%-" + (width + 2) + "s", line.get(column)));
+    for (List<String> cellsOfRow : cells) {
+      for (int column = 0; column < cellsOfRow.size(); column++) {
+        int columnIndex = column;
+        int width =
+            cells.stream()
+                .mapToInt(cellsOfOtherRow -> cellsOfOtherRow.get(columnIndex).length())
+                .max()
+                .orElse(0);
+        text.append(String.format(Locale.ROOT, "%-" + (width + 2) + "s", cellsOfRow.get(column)));
       }
       text.append('\n');
     }
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/PlanCommand.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/PlanCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Shows what a change would do. */
+/** Prints the effect of a change without applying it. */
 @Command(name = "plan", description = "Shows what a change would do; writes nothing.")
 final class PlanCommand implements Callable<Integer> {
   @Mixin private StoreOptions store;
@@ -16,7 +16,8 @@
   public Integer call() {
     ConfigurationChange change = options.read();
     ArrayNode rows =
-        store.edit(editor -> editor.load().thenApply(now -> Difference.between(now, change)));
+        store.edit(
+            editor -> editor.load().thenApply(current -> Difference.between(current, change)));
     if (rows.isEmpty()) {
       System.err.println("vaneworks: no difference");
       return ExitCodes.OK;
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/ResourceFiles.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/ResourceFiles.java
@@ -16,11 +16,16 @@
 import org.vaneworks.state.Template;
 import org.vaneworks.state.Workspace;
 
-/** Reads operators' YAML files. */
+/** Reads resources from YAML files. */
 final class ResourceFiles {
   private ResourceFiles() {}
 
-  /** Returns the change that the files ask for; a folder stands for the YAML files in it. */
+  /**
+   * Returns the change that consists of the resources in files and of deletions.
+   *
+   * @param paths YAML files, or folders whose YAML files are read
+   * @param deletions keys of the resources to delete, as {@code KIND/NAME}
+   */
   static ConfigurationChange read(
       List<Path> paths, List<String> deletions, String changeId, String author, String summary) {
     ImmutableList.Builder<Template> templates = ImmutableList.builder();
@@ -36,10 +41,10 @@
         }
       }
     }
-    ImmutableSet<ResourceKey> keys =
+    ImmutableSet<ResourceKey> deletedKeys =
         deletions.stream().map(ResourceKey::parse).collect(ImmutableSet.toImmutableSet());
     return new ConfigurationChange(
-        changeId, author, summary, templates.build(), workspaces.build(), keys);
+        changeId, author, summary, templates.build(), workspaces.build(), deletedKeys);
   }
 
   private static ImmutableList<Path> filesOf(List<Path> paths) {
@@ -49,8 +54,8 @@
         files.add(path);
         continue;
       }
-      try (Stream<Path> inside = Files.list(path)) {
-        inside.filter(file -> file.toString().endsWith(".yaml")).sorted().forEach(files::add);
+      try (Stream<Path> children = Files.list(path)) {
+        children.filter(file -> file.toString().endsWith(".yaml")).sorted().forEach(files::add);
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/RollbackCommand.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/RollbackCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Brings an earlier version's resources back. */
+/** Restores the resources of an earlier version as a new version. */
 @Command(
     name = "rollback",
     description = "Brings an earlier version's resources back, as a new, higher version.")
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/StatusCommand.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/StatusCommand.java
@@ -20,11 +20,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Shows which version is in force on each node. */
+/** Prints the configuration version in force on each node. */
 @Command(name = "status", description = "Shows which version is in force on each node.")
 final class StatusCommand implements Callable<Integer> {
-  private static final int POOL = 2;
-  private static final Duration PAUSE = Duration.ofMillis(100);
+  private static final int THREADS = 2;
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
 
   @Option(
       names = "--node",
@@ -47,14 +47,16 @@
 
   @Override
   public Integer call() {
-    Executor executor = Executors.newFixedSizeExecutor(POOL);
+    Executor executor = Executors.newFixedSizeExecutor(THREADS);
     try (HttpSender sender = HttpSender.create(executor)) {
       NodeStatusClient client = NodeStatusClient.create(sender);
-      long until = executor.currentTime(SECONDS) + timeoutSeconds;
-      ArrayNode rows = askAll(client);
-      while (version != null && !isInForce(rows) && executor.currentTime(SECONDS) < until) {
-        Async.delay(executor, PAUSE).join();
-        rows = askAll(client);
+      long deadlineSeconds = executor.currentTime(SECONDS) + timeoutSeconds;
+      ArrayNode rows = fetchAll(client);
+      while (version != null
+          && !isInForce(rows)
+          && executor.currentTime(SECONDS) < deadlineSeconds) {
+        Async.delay(executor, POLL_INTERVAL).join();
+        rows = fetchAll(client);
       }
       System.out.println(output.print(rows));
       return version == null || isInForce(rows) ? ExitCodes.OK : ExitCodes.NOT_IN_FORCE;
@@ -72,15 +74,15 @@
     return true;
   }
 
-  private ArrayNode askAll(NodeStatusClient client) {
+  private ArrayNode fetchAll(NodeStatusClient client) {
     ArrayNode rows = Json.list();
     for (String node : nodes) {
-      rows.add(ask(client, node));
+      rows.add(fetchStatus(client, node));
     }
     return rows;
   }
 
-  private static JsonNode ask(NodeStatusClient client, String node) {
+  private static JsonNode fetchStatus(NodeStatusClient client, String node) {
     ObjectNode row = Json.object().put("address", node);
     try {
       JsonNode status = Json.parse(client.status(HostPort.parse(node)).join());
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/StoreOptions.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/StoreOptions.java
@@ -13,9 +13,9 @@
 import org.vaneworks.transport.HttpSender;
 import picocli.CommandLine.Option;
 
-/** Where the platform's store is, and how results are printed. */
+/** Command-line options for the address of the platform's store and the output format. */
 final class StoreOptions {
-  private static final int POOL = 2;
+  private static final int THREADS = 2;
 
   @Option(
       names = "--platform",
@@ -38,14 +38,15 @@
     System.out.println(output.print(result));
   }
 
-  /** Work with the store, and nothing left running after it. */
+  /** An asynchronous operation on the stored configuration. */
   @FunctionalInterface
-  interface Work<T> {
-    CompletableFuture<T> with(ConfigurationEditor editor);
+  interface EditorOperation<T> {
+    CompletableFuture<T> run(ConfigurationEditor editor);
   }
 
-  <T> T edit(Work<T> work) {
-    Executor executor = Executors.newFixedSizeExecutor(POOL);
+  /** Runs an operation, waits for its result and releases all resources. */
+  <T> T edit(EditorOperation<T> operation) {
+    Executor executor = Executors.newFixedSizeExecutor(THREADS);
     try (HttpSender sender = HttpSender.create(executor)) {
       ConfigurationEditor editor =
           ConfigurationEditor.create(
@@ -53,7 +54,7 @@
               HttpPlatformStore.at(sender, address()),
               ConfigurationJson.create(),
               System::currentTimeMillis);
-      return work.with(editor).join();
+      return operation.run(editor).join();
     } catch (CompletionException e) {
       throw asUnchecked(Async.causeOf(e));
     } finally {
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/TraceCommand.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/TraceCommand.java
@@ -25,7 +25,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Puts the log lines of one request, from many boxes, in order of time. */
+/** Prints the log lines of one request from the logs of several boxes, ordered by time. */
 @Command(
     name = "trace",
     description = {
@@ -33,18 +33,19 @@
       "What stands before a line's JSON object, such as a collector's stamp, names its source."
     })
 final class TraceCommand implements Callable<Integer> {
-  /** A request may show what a node came to believe shortly before it. */
-  private static final Duration BEFORE = Duration.ofSeconds(3);
+  /** How long before the request's first line other log lines of its boxes are included. */
+  private static final Duration LOOKBACK = Duration.ofSeconds(3);
 
-  private static final Set<String> NOT_REPEATED = Set.of("time", "level", "event", "request");
+  /** Fields that are not printed as key-value pairs. */
+  private static final Set<String> OMITTED_FIELDS = Set.of("time", "level", "event", "request");
 
-  /** One line of a log. */
-  private record Line(Instant time, String source, JsonNode fields) {
+  /** A parsed log line. */
+  private record LogLine(Instant time, String source, JsonNode fields) {
     boolean isAbout(String request) {
       return fields.path("request").asText().equals(request);
     }
 
-    boolean isAboutNoRequest() {
+    boolean hasNoRequest() {
       return !fields.has("request");
     }
   }
@@ -62,61 +63,61 @@
 
   @Override
   public Integer call() {
-    List<Line> lines = new ArrayList<>();
+    List<LogLine> lines = new ArrayList<>();
     files.forEach(file -> read(file, lines));
-    lines.sort(Comparator.comparing(Line::time));
-    ImmutableList<Line> found =
+    lines.sort(Comparator.comparing(LogLine::time));
+    ImmutableList<LogLine> requestLines =
         lines.stream()
             .filter(line -> line.isAbout(request))
             .collect(ImmutableList.toImmutableList());
-    if (found.isEmpty()) {
+    if (requestLines.isEmpty()) {
       throw new IllegalArgumentException(
           "no line names request " + request + " in " + lines.size() + " lines");
     }
-    Stream<Line> shown = beliefs ? withBeliefs(lines, found) : found.stream();
+    Stream<LogLine> shown = beliefs ? withNodeEvents(lines, requestLines) : requestLines.stream();
     shown.map(TraceCommand::text).forEach(System.out::println);
     return ExitCodes.OK;
   }
 
-  private Stream<Line> withBeliefs(List<Line> lines, ImmutableList<Line> found) {
+  private Stream<LogLine> withNodeEvents(List<LogLine> lines, ImmutableList<LogLine> requestLines) {
     Set<String> sources = new TreeSet<>();
-    found.forEach(line -> sources.add(line.source()));
-    Instant from = found.get(0).time().minus(BEFORE);
-    Instant to = found.get(found.size() - 1).time();
+    requestLines.forEach(line -> sources.add(line.source()));
+    Instant from = requestLines.get(0).time().minus(LOOKBACK);
+    Instant to = requestLines.get(requestLines.size() - 1).time();
     return lines.stream()
         .filter(
             line ->
                 line.isAbout(request)
-                    || line.isAboutNoRequest()
+                    || line.hasNoRequest()
                         && sources.contains(line.source())
                         && !line.time().isBefore(from)
                         && !line.time().isAfter(to));
   }
 
-  private static void read(Path file, List<Line> lines) {
-    try (Stream<String> texts = Files.lines(file, StandardCharsets.UTF_8)) {
-      texts.forEach(text -> line(file, text).ifPresent(lines::add));
+  private static void read(Path file, List<LogLine> lines) {
+    try (Stream<String> rawLines = Files.lines(file, StandardCharsets.UTF_8)) {
+      rawLines.forEach(text -> parse(file, text).ifPresent(lines::add));
     } catch (IOException | UncheckedIOException e) {
       throw new IllegalArgumentException("can't read " + file + ": " + e.getMessage());
     }
   }
 
-  /** Returns a line that holds a JSON object with a time; other lines are left out. */
-  private static Optional<Line> line(Path file, String text) {
-    int begin = text.indexOf('{');
-    if (begin < 0) {
+  /** Parses a line; returns empty unless it contains a JSON object with a time. */
+  private static Optional<LogLine> parse(Path file, String text) {
+    int jsonStart = text.indexOf('{');
+    if (jsonStart < 0) {
       return Optional.empty();
     }
     try {
-      JsonNode fields = Json.parse(text.substring(begin));
+      JsonNode fields = Json.parse(text.substring(jsonStart));
       Instant time = Instant.parse(fields.path("time").asText());
-      return Optional.of(new Line(time, source(file, text.substring(0, begin)), fields));
+      return Optional.of(new LogLine(time, source(file, text.substring(0, jsonStart)), fields));
     } catch (InvalidFieldException | DateTimeException e) {
       return Optional.empty();
     }
   }
 
-  /** Returns the last word before the object, or the file's name if there is none. */
+  /** Returns the last word before the JSON object, or the file name if there is none. */
   private static String source(Path file, String prefix) {
     String trimmed = prefix.trim();
     return trimmed.isEmpty()
@@ -124,7 +125,7 @@
         : trimmed.substring(CharMatcher.whitespace().lastIndexIn(trimmed) + 1);
   }
 
-  private static String text(Line line) {
+  private static String text(LogLine line) {
     StringBuilder text = new StringBuilder();
     text.append(line.time()).append(' ').append(line.source());
     text.append(' ').append(line.fields().path("event").asText("-"));
@@ -132,7 +133,7 @@
         .properties()
         .forEach(
             field -> {
-              if (!NOT_REPEATED.contains(field.getKey())) {
+              if (!OMITTED_FIELDS.contains(field.getKey())) {
                 text.append(' ').append(field.getKey()).append('=').append(field.getValue());
               }
             });
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/ValidateCommand.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/ValidateCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Checks files by themselves, without the store. */
+/** Validates files without access to the store. */
 @Command(
     name = "validate",
     description = "Checks files by themselves: workspaces need their templates among them.")
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/VaneworksMain.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/VaneworksMain.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command {@code vaneworks}. */
+/** Entry point of the command {@code vaneworks}. */
 @Command(
     name = "vaneworks",
     description = "Writes and reads the configuration of a vaneworks fleet.",
@@ -38,7 +38,7 @@
 public final class VaneworksMain {
   private VaneworksMain() {}
 
-  /** Runs the command. */
+  /** Runs the command and exits with its exit code. */
   public static void main(String[] args) {
     System.exit(commandLine().execute(args));
   }
@@ -46,10 +46,10 @@
   static CommandLine commandLine() {
     return new CommandLine(new VaneworksMain())
         .setCaseInsensitiveEnumValuesAllowed(true)
-        .setExecutionExceptionHandler((failure, line, parsed) -> explain(failure));
+        .setExecutionExceptionHandler((failure, line, parsed) -> reportFailure(failure));
   }
 
-  private static int explain(Exception failure) {
+  private static int reportFailure(Exception failure) {
     System.err.println("vaneworks: " + failure.getMessage());
     if (failure instanceof ConflictException) {
       System.err.println("vaneworks: nothing was changed");
--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/package-info.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' command {@code vaneworks}. */
+/** The command-line tool {@code vaneworks} for operators. */
 package org.vaneworks.cli;
--- a/vaneworks-cli/src/test/java/org/vaneworks/cli/TraceCommandTest.java
+++ b/vaneworks-cli/src/test/java/org/vaneworks/cli/TraceCommandTest.java
@@ -13,23 +13,23 @@
 import org.junit.jupiter.api.io.TempDir;
 
 final class TraceCommandTest {
-  private static final String SENT_AGAIN =
+  private static final String REQUEST_RESENT =
       "{\"time\":\"2026-12-02T10:00:01Z\",\"level\":\"INFO\",\"event\":\"VW4010\",\"request\":\"q1\",\"sends\":1}";
-  private static final String REFUSED =
+  private static final String REQUEST_REFUSED =
       "{\"time\":\"2026-12-02T10:00:02Z\",\"level\":\"INFO\",\"event\":\"VW4008\",\"request\":\"q1\"}";
-  private static final String OTHER =
+  private static final String OTHER_REQUEST =
       "{\"time\":\"2026-12-02T10:00:01.5Z\",\"level\":\"INFO\",\"event\":\"VW4008\",\"request\":\"q2\"}";
-  private static final String BELIEF =
+  private static final String NODE_EVENT =
       "{\"time\":\"2026-12-02T10:00:00Z\",\"level\":\"WARN\",\"event\":\"VW3004\",\"endpoint\":\"e1\"}";
-  private static final String LONG_BEFORE =
+  private static final String OLD_NODE_EVENT =
       "{\"time\":\"2026-12-02T09:00:00Z\",\"level\":\"INFO\",\"event\":\"VW1003\"}";
 
   @TempDir private Path folder;
 
   @Test
-  void linesOfOneRequestFromSeveralFilesComeInOrderOfTime() throws Exception {
-    Path box1 = log("box1.log", REFUSED, OTHER);
-    Path box2 = log("box2.log", "not a log line", SENT_AGAIN);
+  void printsLinesOfOneRequestOrderedByTime() throws Exception {
+    Path box1 = log("box1.log", REQUEST_REFUSED, OTHER_REQUEST);
+    Path box2 = log("box2.log", "not a log line", REQUEST_RESENT);
 
     assertEquals(
         List.of(
@@ -38,8 +38,8 @@
   }
 
   @Test
-  void wordBeforeTheObjectNamesTheSource() throws Exception {
-    Path all = log("all.log", "  12.5 box7 " + REFUSED);
+  void usesLastWordBeforeJsonAsSource() throws Exception {
+    Path all = log("all.log", "  12.5 box7 " + REQUEST_REFUSED);
 
     assertEquals(
         List.of("2026-12-02T10:00:02Z box7 VW4008"),
@@ -47,9 +47,9 @@
   }
 
   @Test
-  void beliefsOfTheSameBoxShortlyBeforeAreShownOnRequest() throws Exception {
-    Path box1 = log("box1.log", LONG_BEFORE, BELIEF, REFUSED);
-    Path box2 = log("box2.log", BELIEF);
+  void beliefsOptionAddsRecentEventsOfSameBox() throws Exception {
+    Path box1 = log("box1.log", OLD_NODE_EVENT, NODE_EVENT, REQUEST_REFUSED);
+    Path box2 = log("box2.log", NODE_EVENT);
 
     assertEquals(
         List.of(
@@ -59,13 +59,14 @@
   }
 
   @Test
-  void unknownIdIsAnError() throws Exception {
+  void rejectsUnknownRequestId() throws Exception {
     assertEquals(
-        List.of(), run(ExitCodes.NOT_ACCEPTED, "trace", "q9", log("box1.log", REFUSED).toString()));
+        List.of(),
+        run(ExitCodes.NOT_ACCEPTED, "trace", "q9", log("box1.log", REQUEST_REFUSED).toString()));
   }
 
   @Test
-  void missingFileIsAnError() {
+  void rejectsMissingFile() {
     assertEquals(
         List.of(),
         run(ExitCodes.NOT_ACCEPTED, "trace", "q1", folder.resolve("none.log").toString()));
@@ -76,14 +77,14 @@
   }
 
   private static List<String> run(int exitCode, String... arguments) {
-    PrintStream before = System.out;
-    ByteArrayOutputStream printed = new ByteArrayOutputStream();
-    System.setOut(new PrintStream(printed, true, StandardCharsets.UTF_8));
+    PrintStream originalOut = System.out;
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    System.setOut(new PrintStream(output, true, StandardCharsets.UTF_8));
     try {
       assertEquals(exitCode, VaneworksMain.commandLine().execute(arguments));
     } finally {
-      System.setOut(before);
+      System.setOut(originalOut);
     }
-    return new ArrayList<>(printed.toString(StandardCharsets.UTF_8).lines().toList());
+    return new ArrayList<>(output.toString(StandardCharsets.UTF_8).lines().toList());
   }
 }
