--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/processes/Caller.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/processes/Caller.java
@@ -14,18 +14,18 @@
 import java.util.stream.Stream;
 import org.vaneworks.protocol.Json;
 
-/** A caller outside the fleet. */
+/** An HTTP client that sends requests to nodes and stand-ins. */
 final class Caller {
-  private static final Duration PATIENCE = Duration.ofSeconds(60);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(60);
 
   private final HttpClient client =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-  /** A streamed answer as it comes in. */
-  static final class Streamed {
+  /** A streamed answer that is being received. */
+  static final class StreamedAnswer {
     private final List<String> tokens = new ArrayList<>();
-    private final CountDownLatch begun = new CountDownLatch(3);
-    private volatile boolean whole;
+    private final CountDownLatch firstTokens = new CountDownLatch(3);
+    private volatile boolean complete;
     private volatile String error = "";
     private volatile int status;
     private CompletableFuture<Void> ended = CompletableFuture.completedFuture(null);
@@ -34,14 +34,14 @@
       return List.copyOf(tokens);
     }
 
-    /** Waits until a few tokens came, so that what follows happens in the middle. */
-    void awaitMiddle() throws InterruptedException {
-      begun.await();
+    /** Waits for the first tokens, so that the next step happens in the middle of the stream. */
+    void awaitFirstTokens() throws InterruptedException {
+      firstTokens.await();
     }
 
-    boolean isWhole() {
+    boolean isComplete() {
       ended.join();
-      return whole;
+      return complete;
     }
 
     String error() {
@@ -56,21 +56,21 @@
 
     private synchronized void line(String line) {
       if (line.equals("data: [DONE]")) {
-        whole = true;
+        complete = true;
       } else if (line.startsWith("event: error") || line.contains("\"verdict\"")) {
         error = line;
       } else if (line.startsWith("data: ")) {
         JsonNode choice = Json.parse(line.substring("data: ".length())).at("/choices/0/delta");
         if (choice.has("content")) {
           tokens.add(choice.get("content").asText());
-          begun.countDown();
+          firstTokens.countDown();
         }
       }
     }
   }
 
-  Streamed stream(String node, String workspace, String prompt, int tokens) {
-    Streamed answer = new Streamed();
+  StreamedAnswer stream(String node, String workspace, String prompt, int tokens) {
+    StreamedAnswer answer = new StreamedAnswer();
     HttpRequest request = completion(node, workspace, prompt, tokens, true, Map.of());
     answer.ended =
         client
@@ -85,7 +85,7 @@
     return answer;
   }
 
-  HttpResponse<String> whole(
+  HttpResponse<String> complete(
       String node, String workspace, String prompt, int tokens, Map<String, String> headers)
       throws Exception {
     return client.send(
@@ -111,7 +111,7 @@
       String node, String method, String path, String body, Map<String, String> headers) {
     HttpRequest.Builder builder =
         HttpRequest.newBuilder(URI.create("http://" + node + path))
-            .timeout(PATIENCE)
+            .timeout(REQUEST_TIMEOUT)
             .header("content-type", "application/json")
             .method(method, HttpRequest.BodyPublishers.ofString(body));
     headers.forEach(builder::setHeader);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/processes/FleetSteps.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/processes/FleetSteps.java
@@ -26,12 +26,12 @@
 import org.vaneworks.testlib.ReferenceModel;
 import org.vaneworks.testlib.StandInMain;
 
-/** Steps over a fleet of separate processes. */
+/** Step definitions for a fleet of separate processes. */
 public final class FleetSteps {
-  /** The CLI's exit code for a store that gave no answer in its time. */
-  private static final int STORE_DID_NOT_ANSWER = 4;
+  /** The CLI's exit code for a store that did not answer in time. */
+  private static final int EXIT_STORE_UNAVAILABLE = 4;
 
-  private static final int APPLY_TRIES = 10;
+  private static final int APPLY_ATTEMPTS = 10;
 
   private static final Pattern LISTENING = Pattern.compile("listening (\\S+)");
   private static final Pattern CALLERS = Pattern.compile("\"callers\":\"([^\"]+)\"");
@@ -41,14 +41,14 @@
 
   private final Processes processes = new Processes();
   private final Caller caller = new Caller();
-  private final Set<String> enlisted = new HashSet<>();
-  private final Map<String, Pattern> patterns = new LinkedHashMap<>();
-  private final Map<String, Caller.Streamed> streams = new LinkedHashMap<>();
+  private final Set<String> registered = new HashSet<>();
+  private final Map<String, Pattern> addressPatterns = new LinkedHashMap<>();
+  private final Map<String, Caller.StreamedAnswer> streams = new LinkedHashMap<>();
   private final Map<String, String> tickets = new LinkedHashMap<>();
   private String platform = "";
-  private HttpResponse<String> last;
+  private HttpResponse<String> lastResponse;
 
-  /** Ends every process of the scenario; if it failed, their logs go into its report. */
+  /** Kills all processes of the scenario and, if it failed, prints their logs. */
   @After
   public void end(Scenario scenario) throws Exception {
     processes.close();
@@ -58,24 +58,27 @@
     }
   }
 
-  /** Starts the platform. */
+  /** Starts the platform stand-in. */
   @Given("a platform")
   public void platform() throws Exception {
     processes.start("platform", StandInMain.class.getName(), "platform");
     platform = processes.awaitLine("platform", LISTENING);
   }
 
-  /** Returns where a process listens, once it does; processes start side by side. */
+  /**
+   * Waits until a process listens and returns its address; processes start concurrently. Adds the
+   * box of a new node to the platform's list.
+   */
   private String addressOf(String name) throws Exception {
-    String address = processes.awaitLine(name, patterns.get(name));
-    if (patterns.get(name).equals(CALLERS) && enlisted.add(name)) {
-      enlist(name);
+    String address = processes.awaitLine(name, addressPatterns.get(name));
+    if (addressPatterns.get(name).equals(CALLERS) && registered.add(name)) {
+      register(name);
     }
     return address;
   }
 
-  /** Puts a node's box into the platform's list, as the platform does with each new box. */
-  private void enlist(String name) throws Exception {
+  /** Adds a node's box to the box list, as the platform does for each new box. */
+  private void register(String name) throws Exception {
     HostPort peers = HostPort.parse(processes.awaitLine(name, PEERS));
     Box box = new Box(name, Box.Role.ENTRY, peers, "dc1", false);
     String body = Json.write(PlatformJson.writeBox(box));
@@ -96,7 +99,7 @@
         "--model-layers=" + LAYERS,
         "--layers=" + layers,
         "--step-ms=" + stepMillis);
-    patterns.put(name, LISTENING);
+    addressPatterns.put(name, LISTENING);
   }
 
   /** Starts a plain service. */
@@ -109,18 +112,18 @@
         "--box=" + name,
         "--platform=" + platform,
         "--serves=" + name);
-    patterns.put(name, LISTENING);
+    addressPatterns.put(name, LISTENING);
   }
 
-  /** Starts nodes. */
+  /** Starts two nodes. */
   @Given("nodes {word} and {word}")
   public void nodes(String first, String second) throws Exception {
     node(first);
     node(second);
   }
 
-  /** Replaces a node: a planned stop of the old run, then a new one, as a rolling update does. */
-  @When("{word} is stopped as planned and replaced")
+  /** Replaces a node as a rolling update does: a graceful shutdown, then a new incarnation. */
+  @When("{word} is stopped gracefully and replaced")
   public void replace(String name) throws Exception {
     processes.signal(name, "TERM");
     assertEquals(0, processes.exitCode(name), processes.log(name));
@@ -143,14 +146,14 @@
         () -> caller.send(address, "GET", "/health/ready", "", Map.of()).statusCode() == 200);
   }
 
-  /** Waits until two nodes know each other. */
-  @Given("{word} and {word} know each other")
-  public void knowEachOther(String first, String second) throws Exception {
-    Processes.await(first + " to know " + second, () -> knows(first, second));
-    Processes.await(second + " to know " + first, () -> knows(second, first));
+  /** Waits until two nodes list each other as alive members. */
+  @Given("{word} and {word} have discovered each other")
+  public void discoverEachOther(String first, String second) throws Exception {
+    Processes.await(first + " to discover " + second, () -> hasDiscovered(first, second));
+    Processes.await(second + " to discover " + first, () -> hasDiscovered(second, first));
   }
 
-  private boolean knows(String node, String other) throws Exception {
+  private boolean hasDiscovered(String node, String other) throws Exception {
     String status = caller.send(addressOf(node), "GET", "/status", "", Map.of()).body();
     for (JsonNode member : Json.parse(status).path("members")) {
       String identity = member.path("member").asText();
@@ -161,21 +164,21 @@
     return false;
   }
 
-  /** Takes a ticket. */
-  @When("ticket {word} is taken from {word}")
+  /** Requests a ticket from a node. */
+  @When("ticket {word} is issued by {word}")
   public void ticket(String name, String node) throws Exception {
-    HttpResponse<String> taken =
+    HttpResponse<String> response =
         caller.send(addressOf(node), "POST", "/v1/tickets?count=1", "", Map.of());
-    tickets.put(name, Json.parse(taken.body()).at("/tickets/0").asText());
+    tickets.put(name, Json.parse(response.body()).at("/tickets/0").asText());
   }
 
-  /** Confirms a swap under a ticket. */
+  /** Confirms a swap with a ticket. */
   @When("swap {int} is confirmed at {word} with ticket {word}")
   public void confirmWithTicket(int swap, String node, String ticket) throws Exception {
     confirm(swap, node, "vaneworks-ticket", tickets.get(ticket));
   }
 
-  /** Confirms a swap under a key. */
+  /** Confirms a swap with an idempotency key. */
   @When("swap {int} is confirmed at {word} with key {word}")
   public void confirmWithKey(int swap, String node, String key) throws Exception {
     confirm(swap, node, "idempotency-key", key);
@@ -184,10 +187,10 @@
   private void confirm(int swap, String node, String header, String value) throws Exception {
     String path = "/v1/workspaces/ward/services/records/confirm";
     String body = "{\"swap\":" + swap + "}";
-    last = caller.send(addressOf(node), "POST", path, body, Map.of(header, value));
+    lastResponse = caller.send(addressOf(node), "POST", path, body, Map.of(header, value));
   }
 
-  /** Checks the service's own count. */
+  /** Checks how often the service ran a confirmation, by its own ledger. */
   @Then("swap {int} ran {int} time(s)")
   public void swapRan(int swap, int times) throws Exception {
     JsonNode ledger =
@@ -196,36 +199,36 @@
         times, ledger.path("POST /confirm {\"swap\":" + swap + "}").asInt(), ledger.toString());
   }
 
-  /** Brings a fault of the store about. */
-  @When("the store is told {string}")
-  public void fault(String body) throws Exception {
+  /** Sets the injected faults of the store. */
+  @When("the store's faults are set to {string}")
+  public void setFaults(String body) throws Exception {
     assertEquals(200, caller.send(platform, "POST", "/fault", body, Map.of()).statusCode());
   }
 
-  /** Keeps asking while nodes are replaced, each time at the node that a balancer would pick. */
-  @When("callers keep asking {word}, {word} and {word} while each of them is replaced in turn")
-  public void rolling(String first, String second, String third) throws Exception {
+  /** Streams from all nodes while they are replaced one after the other. */
+  @When("callers stream from {word}, {word} and {word} while each node is replaced in turn")
+  public void rollingUpdate(String first, String second, String third) throws Exception {
     List<String> names = List.of(first, second, third);
-    for (String leaving : names) {
+    for (String replaced : names) {
       for (int i = 0; i < STREAMS_PER_REPLACEMENT; i++) {
         for (String node : names) {
-          stream(leaving + "-" + node + "-" + i, 120, node, "ward");
+          stream(replaced + "-" + node + "-" + i, 120, node, "ward");
         }
       }
       for (int i = 0; i < STREAMS_PER_REPLACEMENT; i++) {
         for (String node : names) {
-          streams.get(leaving + "-" + node + "-" + i).awaitMiddle();
+          streams.get(replaced + "-" + node + "-" + i).awaitFirstTokens();
         }
       }
-      replace(leaving);
-      canAnswer(leaving, "ward");
+      replace(replaced);
+      canAnswer(replaced, "ward");
     }
   }
 
-  /** Checks every streamed answer of the scenario. */
-  @Then("every caller has the whole right answer of {int} tokens")
-  public void everyAnswer(int tokens) {
-    streams.keySet().forEach(name -> wholeAnswer(name, tokens));
+  /** Checks all streamed answers of the scenario. */
+  @Then("every caller has the complete, correct answer of {int} tokens")
+  public void everyAnswerIsCorrect(int tokens) {
+    streams.keySet().forEach(name -> correctAnswer(name, tokens));
   }
 
   /** Starts a node. */
@@ -240,11 +243,11 @@
                 + platform
                 + "', stop: {balancerLagMs: 300, deadlineMs: 60000}}");
     processes.start(name, DaemonMain.class.getName(), "--settings=" + settings);
-    patterns.put(name, CALLERS);
-    enlisted.remove(name);
+    addressPatterns.put(name, CALLERS);
+    registered.remove(name);
   }
 
-  /** Applies a sample configuration and waits until it is in force. */
+  /** Applies a sample configuration; retries while the store does not answer. */
   @When("the configuration with {int} tokens for workspace {word} is applied as version {int}")
   public void apply(int maxTokens, String workspace, int version) throws Exception {
     Path file =
@@ -263,24 +266,29 @@
   }
 
   /**
-   * Applies as an operator does: again if the store did not answer, which changes nothing twice.
+   * Applies a configuration and retries while the store does not answer. A retry is safe because
+   * that exit code means that nothing was changed.
    */
   private void applyUntilTheStoreAnswers(String name, Path file) throws Exception {
-    for (int left = APPLY_TRIES; ; left--) {
-      String run = name + "-" + left;
+    for (int attemptsLeft = APPLY_ATTEMPTS; ; attemptsLeft--) {
+      String attemptName = name + "-" + attemptsLeft;
       processes.start(
-          run, VaneworksMain.class.getName(), "apply", "--platform=" + platform, file.toString());
-      int exit = processes.exitCode(run);
-      if (exit != STORE_DID_NOT_ANSWER || left == 1) {
-        assertEquals(0, exit, processes.log(run));
+          attemptName,
+          VaneworksMain.class.getName(),
+          "apply",
+          "--platform=" + platform,
+          file.toString());
+      int exit = processes.exitCode(attemptName);
+      if (exit != EXIT_STORE_UNAVAILABLE || attemptsLeft == 1) {
+        assertEquals(0, exit, processes.log(attemptName));
         return;
       }
     }
   }
 
-  /** Waits until a version is in force. */
+  /** Waits until a configuration version is in force on two nodes. */
   @Then("version {int} is in force on {word} and {word}")
-  public void inForce(int version, String first, String second) throws Exception {
+  public void versionInForce(int version, String first, String second) throws Exception {
     for (String node : List.of(first, second)) {
       Processes.await("version " + version + " on " + node, () -> versionOn(node) == version);
     }
@@ -291,15 +299,17 @@
     return Json.parse(status.body()).path("version").asLong();
   }
 
-  /** Waits until a node routes over the engines. */
+  /** Waits until a node can answer requests of a workspace. */
   @Given("{word} can answer workspace {word}")
   public void canAnswer(String node, String workspace) throws Exception {
     Processes.await(
         node + " to answer",
-        () -> caller.whole(addressOf(node), workspace, "warm up", 1, Map.of()).statusCode() == 200);
+        () ->
+            caller.complete(addressOf(node), workspace, "warm up", 1, Map.of()).statusCode()
+                == 200);
   }
 
-  /** Waits until nodes have found a plain service: each reads the list of boxes at its own time. */
+  /** Waits until nodes have discovered a plain service; each polls the box list at its own time. */
   @Given("{word}, {word} and {word} can use {word}")
   public void canUse(String first, String second, String third, String service) throws Exception {
     for (String node : List.of(first, second, third)) {
@@ -307,13 +317,13 @@
     }
   }
 
-  /** Waits until a node has found a plain service. */
+  /** Waits until a node has discovered a plain service. */
   @Given("{word} can use {word}")
   public void canUse(String node, String service) throws Exception {
-    Processes.await(node + " to use " + service, () -> uses(node, service));
+    Processes.await(node + " to use " + service, () -> canUseService(node, service));
   }
 
-  private boolean uses(String node, String service) throws Exception {
+  private boolean canUseService(String node, String service) throws Exception {
     String status = caller.send(addressOf(node), "GET", "/status", "", Map.of()).body();
     for (JsonNode endpoint : Json.parse(status).path("endpoints")) {
       if (endpoint.path("serves").asText().equals(service) && endpoint.path("usable").asBoolean()) {
@@ -329,45 +339,45 @@
     streams.put(name, caller.stream(addressOf(node), workspace, "prompt of " + name, tokens));
   }
 
-  /** Sends a signal in the middle of a stream. */
-  @When("in the middle of {word}'s stream {word} gets signal {word}")
+  /** Sends a signal to a process in the middle of a stream. */
+  @When("in the middle of {word}'s stream {word} receives signal {word}")
   public void signal(String name, String process, String signal) throws Exception {
-    streams.get(name).awaitMiddle();
+    streams.get(name).awaitFirstTokens();
     processes.signal(process, signal);
   }
 
-  /** Sends a signal. */
-  @When("{word} gets signal {word}")
+  /** Sends a signal to a process. */
+  @When("{word} receives signal {word}")
   public void signalNow(String process, String signal) throws Exception {
     processes.signal(process, signal);
   }
 
-  /** Checks a streamed answer against the reference. */
-  @Then("caller {word} has the whole right answer of {int} tokens")
-  public void wholeAnswer(String name, int tokens) {
-    Caller.Streamed answer = streams.get(name);
-    assertTrue(answer.isWhole(), answer.error());
+  /** Checks a streamed answer against the reference model. */
+  @Then("caller {word} has the complete, correct answer of {int} tokens")
+  public void correctAnswer(String name, int tokens) {
+    Caller.StreamedAnswer answer = streams.get(name);
+    assertTrue(answer.isComplete(), answer.error());
     assertEquals(ReferenceModel.answer("prompt of " + name, LAYERS, tokens), answer.tokens());
   }
 
-  /** Checks how a process ended. */
-  @Then("{word} ends with exit code {int}")
-  public void endsWith(String process, int code) throws Exception {
+  /** Checks the exit code of a process. */
+  @Then("{word} exits with code {int}")
+  public void exitsWith(String process, int code) throws Exception {
     assertEquals(code, processes.exitCode(process), processes.log(process));
   }
 
-  /** Sends a request whose answer is kept for the next step. */
+  /** Sends a request and keeps the answer for the next steps. */
   @When("a caller sends {word} {word} to {word} with body {string}")
   public void send(String method, String path, String node, String body) throws Exception {
-    last = caller.send(addressOf(node), method, path, body, Map.of());
+    lastResponse = caller.send(addressOf(node), method, path, body, Map.of());
   }
 
-  /** Sends a request with a header. */
+  /** Sends a request with an additional header. */
   @When("a caller sends {word} {word} to {word} with body {string} and header {word} {string}")
   public void sendWith(
       String method, String path, String node, String body, String header, String value)
       throws Exception {
-    last = caller.send(addressOf(node), method, path, body, Map.of(header, value));
+    lastResponse = caller.send(addressOf(node), method, path, body, Map.of(header, value));
   }
 
   /** Sends a long prompt. */
@@ -380,22 +390,22 @@
   /** Checks a header of the kept answer. */
   @Then("the answer's header {word} is {word}")
   public void header(String name, String value) {
-    assertEquals(value, last.headers().firstValue(name).orElse("absent"));
+    assertEquals(value, lastResponse.headers().firstValue(name).orElse("absent"));
   }
 
-  /** Checks the kept answer. */
+  /** Checks that the kept answer is a refusal with a status, reason and verdict. */
   @Then("the answer has status {int}, reason {word} and verdict {word}")
   public void refused(int status, String reason, String verdict) {
-    assertEquals(status, last.statusCode(), last.body());
-    assertEquals(reason, Json.parse(last.body()).path("reason").asText());
-    assertEquals(verdict, Json.parse(last.body()).path("verdict").asText());
-    assertEquals(verdict, last.headers().firstValue("vaneworks-verdict").orElse(""));
+    assertEquals(status, lastResponse.statusCode(), lastResponse.body());
+    assertEquals(reason, Json.parse(lastResponse.body()).path("reason").asText());
+    assertEquals(verdict, Json.parse(lastResponse.body()).path("verdict").asText());
+    assertEquals(verdict, lastResponse.headers().firstValue("vaneworks-verdict").orElse(""));
   }
 
   /** Checks the kept answer of a plain service. */
   @Then("the service answers that it ran {int} time")
   public void ranTimes(int times) {
-    assertEquals(200, last.statusCode(), last.body());
-    assertEquals(times, Json.parse(last.body()).path("runs").asInt());
+    assertEquals(200, lastResponse.statusCode(), lastResponse.body());
+    assertEquals(times, Json.parse(lastResponse.body()).path("runs").asInt());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/processes/Processes.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/processes/Processes.java
@@ -13,15 +13,15 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The processes of one scenario; all are ended with it. */
+/** Starts and controls the processes of one scenario. {@link #close} kills them all. */
 final class Processes implements AutoCloseable {
-  /** Only bounds a hang; no result depends on how fast anything is. */
-  private static final Duration PATIENCE = Duration.ofSeconds(60);
+  /** Upper limit for a process that hangs; no result depends on timing. */
+  private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
-  private static final long PAUSE_MILLIS = 50;
+  private static final long POLL_INTERVAL_MILLIS = 50;
 
-  /** Enough to see what a process believed when its scenario failed. */
-  private static final int LOG_END_CHARACTERS = 4000;
+  /** Size of the log excerpt printed for each process of a failed scenario. */
+  private static final int MAX_LOG_CHARACTERS = 4000;
 
   private final Path folder;
   private final Map<String, Process> running = new LinkedHashMap<>();
@@ -63,39 +63,41 @@
     return Files.readString(logOf(name));
   }
 
-  /** Returns the end of each process's output. */
+  /** Returns the last part of the output of each process. */
   String logs() throws IOException {
     StringBuilder all = new StringBuilder();
     for (String name : running.keySet()) {
       String log = log(name);
       all.append("-- ").append(name).append('\n');
-      all.append(log.substring(Math.max(0, log.length() - LOG_END_CHARACTERS)));
+      all.append(log.substring(Math.max(0, log.length() - MAX_LOG_CHARACTERS)));
     }
     return all.toString();
   }
 
-  /** Waits for a line of the process's output and returns the pattern's first group. */
+  /**
+   * Waits until the output of a process matches a pattern and returns the pattern's first group.
+   */
   String awaitLine(String name, Pattern pattern) throws Exception {
-    String[] found = new String[1];
+    String[] match = new String[1];
     await(
         name + " to print " + pattern,
         () -> {
           Matcher matcher = pattern.matcher(log(name));
           if (matcher.find()) {
-            found[0] = matcher.group(1);
+            match[0] = matcher.group(1);
           }
-          return found[0] != null;
+          return match[0] != null;
         });
-    return found[0];
+    return match[0];
   }
 
   static void await(String what, Callable<Boolean> condition) throws Exception {
-    long until = System.nanoTime() + PATIENCE.toNanos();
+    long deadline = System.nanoTime() + TIMEOUT.toNanos();
     while (!condition.call()) {
-      if (System.nanoTime() > until) {
-        throw new AssertionError("waited in vain for " + what);
+      if (System.nanoTime() > deadline) {
+        throw new AssertionError("timed out waiting for " + what);
       }
-      Thread.sleep(PAUSE_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
   }
 
@@ -109,8 +111,8 @@
 
   int exitCode(String name) throws Exception {
     Process process = running.get(name);
-    if (!process.waitFor(PATIENCE.toSeconds(), TimeUnit.SECONDS)) {
-      throw new AssertionError(name + " did not end");
+    if (!process.waitFor(TIMEOUT.toSeconds(), TimeUnit.SECONDS)) {
+      throw new AssertionError(name + " did not exit");
     }
     return process.exitValue();
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/processes/package-info.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/processes/package-info.java
@@ -1,2 +1,2 @@
-/** Steps of the scenarios that run over separate processes. */
+/** Step definitions of the scenarios that run nodes, engines and services as separate processes. */
 package org.vaneworks.tests.processes;
--- a/vaneworks-tests/src/test/resources/features/decisions/configuration.feature
+++ b/vaneworks-tests/src/test/resources/features/decisions/configuration.feature
@@ -1,4 +1,4 @@
-Feature: An accepted configuration is in force everywhere within seconds and never goes back
+Feature: An accepted configuration takes effect on all nodes within seconds and is never reverted
 
   Background:
     Given eight nodes n1 to n8
--- a/vaneworks-tests/src/test/resources/features/decisions/leaving_and_stopping.feature
+++ b/vaneworks-tests/src/test/resources/features/decisions/leaving_and_stopping.feature
@@ -1,4 +1,4 @@
-Feature: Endpoints leave and nodes stop without cutting a request
+Feature: Endpoints leave and nodes stop without aborting requests
 
   Background:
     Given engine a1 with layers 0 to 6 and a step of 5 ms
--- a/vaneworks-tests/src/test/resources/features/decisions/progress.feature
+++ b/vaneworks-tests/src/test/resources/features/decisions/progress.feature
@@ -1,4 +1,4 @@
-Feature: A frozen engine is found by progress, a busy one is left alone
+Feature: A frozen engine is detected by missing progress, and a busy engine is not affected
 
   Background:
     Given engine a1 with layers 0 to 6 and a step of 5 ms
--- a/vaneworks-tests/src/test/resources/features/processes/refusals.feature
+++ b/vaneworks-tests/src/test/resources/features/processes/refusals.feature
@@ -1,4 +1,4 @@
-Feature: Refusals of a node that can't serve yet
+Feature: Refusals of a node that is not ready to serve
 
   Scenario: Without configuration, without engines, and over the body's bound
     Given a platform
--- a/vaneworks-tests/src/test/resources/features/processes/whole_path.feature
+++ b/vaneworks-tests/src/test/resources/features/processes/whole_path.feature
@@ -1,4 +1,4 @@
-Feature: The whole path over separate processes
+Feature: The complete request path with separate processes
 
   Background:
     Given a platform
@@ -16,17 +16,17 @@
   Scenario: Two callers stream at once, an engine is killed, the configuration changes, a node stops
     When caller anna streams 60 tokens from n1 for workspace ward
     And caller bert streams 60 tokens from n2 for workspace ward
-    Then caller anna has the whole right answer of 60 tokens
-    And caller bert has the whole right answer of 60 tokens
+    Then caller anna has the complete, correct answer of 60 tokens
+    And caller bert has the complete, correct answer of 60 tokens
     When caller cleo streams 200 tokens from n1 for workspace ward
-    And in the middle of cleo's stream e2 gets signal KILL
-    Then caller cleo has the whole right answer of 200 tokens
+    And in the middle of cleo's stream e2 receives signal KILL
+    Then caller cleo has the complete, correct answer of 200 tokens
     When the configuration with 400 tokens for workspace ward is applied as version 2
     Then version 2 is in force on n1 and n2
     When caller dora streams 300 tokens from n2 for workspace ward
-    And in the middle of dora's stream n2 gets signal TERM
-    Then caller dora has the whole right answer of 300 tokens
-    And n2 ends with exit code 0
+    And in the middle of dora's stream n2 receives signal TERM
+    Then caller dora has the complete, correct answer of 300 tokens
+    And n2 exits with code 0
 
   Scenario: Every refusal says why, and that nothing ran
     When a caller sends POST /v1/workspaces/none/completions to n1 with body '{"prompt":"x"}'
