--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/Judge.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/AnswerVerifier.java
@@ -11,55 +11,61 @@
 import org.vaneworks.state.Verdict;
 
 /**
- * Judges answers by their text and by the engines' ledgers, never by the router's own counters.
+ * Verifies answers by their text and the engines' ledgers, independently of the router's own
+ * counters.
  *
- * <p>Prompts must differ, so that ledgers can be matched with answers.
+ * <p>All prompts must be different, because answers are matched with ledger entries by prompt.
  */
-public final class Judge {
-  private record Run(StreamId stream, int step, int layer) {}
+public final class AnswerVerifier {
+  private record LayerRun(StreamId stream, int step, int layer) {}
 
   private final int layers;
   private final ImmutableList<LedgerEntry> ledger;
 
-  private Judge(int layers, ImmutableList<LedgerEntry> ledger) {
+  private AnswerVerifier(int layers, ImmutableList<LedgerEntry> ledger) {
     this.layers = layers;
     this.ledger = ledger;
   }
 
-  /** Returns a judge over the engines' ledgers. */
-  public static Judge of(int layers, Iterable<EngineCore> engines) {
+  /** Returns a verifier that uses the current ledgers of the engines. */
+  public static AnswerVerifier of(int layers, Iterable<EngineCore> engines) {
     ImmutableList.Builder<LedgerEntry> all = ImmutableList.builder();
     engines.forEach(engine -> all.addAll(engine.ledger()));
-    return new Judge(layers, all.build());
+    return new AnswerVerifier(layers, all.build());
   }
 
-  /** Returns what is wrong with an answer; empty if nothing is. */
+  /**
+   * Returns a description of each error in an answer, or an empty list if it is correct.
+   *
+   * @param tokens number of tokens requested
+   * @param repeatable whether the request may run more than once
+   */
   public ImmutableList<String> problemsOf(RecordedAnswer answer, int tokens, boolean repeatable) {
     List<String> problems = new ArrayList<>();
-    if (answer.ends() > 1) {
-      problems.add("ended " + answer.ends() + " times");
+    if (answer.terminationCount() > 1) {
+      problems.add("ended " + answer.terminationCount() + " times");
     }
-    List<String> right = ReferenceModel.answer(answer.prompt(), layers, tokens);
-    int given = answer.tokens().size();
-    if (given > tokens || !right.subList(0, given).equals(answer.tokens())) {
-      problems.add("gave " + answer.tokens() + ", right is " + right);
+    List<String> expected = ReferenceModel.answer(answer.prompt(), layers, tokens);
+    int received = answer.tokens().size();
+    if (received > tokens || !expected.subList(0, received).equals(answer.tokens())) {
+      problems.add("returned " + answer.tokens() + ", expected " + expected);
     }
-    if (answer.isWhole() && given != tokens) {
-      problems.add("looks whole after " + given + " of " + tokens + " tokens");
+    if (answer.isComplete() && received != tokens) {
+      problems.add("reported complete after " + received + " of " + tokens + " tokens");
     }
     List<LedgerEntry> runs = runsOf(answer.prompt());
     if (isRefusedAsNotRun(answer) && !runs.isEmpty()) {
       problems.add("refused as not run, but ran " + runs.size() + " times");
     }
-    problems.addAll(repeats(runs, repeatable));
+    problems.addAll(duplicateRuns(runs, repeatable));
     return ImmutableList.copyOf(problems);
   }
 
   private static boolean isRefusedAsNotRun(RecordedAnswer answer) {
-    return answer.refusal().filter(why -> why.verdict() == Verdict.NOT_RUN).isPresent();
+    return answer.refusal().filter(refusal -> refusal.verdict() == Verdict.NOT_RUN).isPresent();
   }
 
-  /** Returns the runs of the streams that a prompt was run in. */
+  /** Returns all ledger entries of the streams that ran a prompt. */
   public ImmutableList<LedgerEntry> runsOf(String prompt) {
     Set<StreamId> streams = new HashSet<>();
     for (LedgerEntry entry : ledger) {
@@ -72,15 +78,18 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  /** A lineage never runs a step twice; a request that is not repeatable runs nothing twice. */
-  private static List<String> repeats(List<LedgerEntry> runs, boolean repeatable) {
+  /**
+   * Describes duplicate runs: a session must not run a step twice, and a request that is not
+   * repeatable must not run any layer twice for the same step.
+   */
+  private static List<String> duplicateRuns(List<LedgerEntry> runs, boolean repeatable) {
     Map<Object, Integer> counts = new HashMap<>();
     for (LedgerEntry entry : runs) {
       counts.merge(entry, 1, Integer::sum);
       for (int layer = entry.session().layers().from();
           !repeatable && layer < entry.session().layers().to();
           layer++) {
-        counts.merge(new Run(entry.session().stream(), entry.step(), layer), 1, Integer::sum);
+        counts.merge(new LayerRun(entry.session().stream(), entry.step(), layer), 1, Integer::sum);
       }
     }
     return counts.entrySet().stream()
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/BoxListCore.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/BoxListCore.java
@@ -7,7 +7,7 @@
 import org.vaneworks.coordination.boxes.Box;
 import org.vaneworks.coordination.boxes.BoxList;
 
-/** The platform's box list without a socket. Thread-safe. */
+/** An in-memory implementation of the platform's box list. Thread-safe. */
 public final class BoxListCore implements BoxList {
   private final Map<String, Box> boxes = new TreeMap<>();
 
@@ -29,7 +29,7 @@
   }
 
   /** Marks a box as leaving. */
-  public synchronized void leaving(String name) {
+  public synchronized void markLeaving(String name) {
     Box box = boxes.get(name);
     put(new Box(name, box.role(), box.address(), box.dataCentre(), true));
   }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/ControlBench.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/ControlBench.java
@@ -10,10 +10,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Measures what nodes spend on each other and on the store, in paused time. */
+/** Measures the traffic between nodes and to the store, with a paused clock. */
 @Command(name = "control", description = "Measures control traffic by the number of nodes.")
 public final class ControlBench implements Callable<Integer> {
-  private static final Duration SETTLE = Duration.ofSeconds(120);
+  private static final Duration SETTLE_TIME = Duration.ofSeconds(120);
 
   @Option(names = "--nodes", split = ",", description = "How many nodes.")
   private List<Integer> sizes = List.of(2, 4, 8, 16, 32);
@@ -46,19 +46,19 @@
       fleet.addNode("n" + i);
     }
     var unused = fleet.apply(configuration());
-    fleet.clock().advance(SETTLE);
+    fleet.clock().advance(SETTLE_TIME);
     long known = fleet.nodes().stream().mapToLong(node -> node.members().size()).min().orElse(0);
     long messages = fleet.peers().messages();
     long bytes = fleet.peers().bytes();
     Map<String, Long> callsBefore = fleet.store().calls();
     long slowest = 0;
-    long cpu = System.nanoTime();
+    long cpuNanos = System.nanoTime();
     for (int i = 0; i < changes; i++) {
       slowest = Math.max(slowest, change(fleet, i));
     }
-    int rest = Math.max(0, seconds - changes * (seconds / Math.max(1, changes)));
-    fleet.clock().advance(Duration.ofSeconds(rest));
-    cpu = System.nanoTime() - cpu;
+    int remainingSeconds = Math.max(0, seconds - changes * (seconds / Math.max(1, changes)));
+    fleet.clock().advance(Duration.ofSeconds(remainingSeconds));
+    cpuNanos = System.nanoTime() - cpuNanos;
     double nodeSeconds = (double) size * seconds;
     System.out.println(
         String.format(
@@ -71,7 +71,7 @@
             (fleet.peers().bytes() - bytes) / nodeSeconds,
             slowest,
             rates(callsBefore, fleet.store().calls()),
-            cpu / 1e7 / nodeSeconds));
+            cpuNanos / 1e7 / nodeSeconds));
   }
 
   private String configuration() {
@@ -83,20 +83,24 @@
     return yaml.toString();
   }
 
-  /** Makes one change and lets its share of the time pass; returns when it was in force. */
+  /**
+   * Applies one change and advances the clock by its share of the measured time.
+   *
+   * @return the time after which the change was in force on all nodes, in milliseconds
+   */
   private long change(InMemoryFleet fleet, int number) {
     long target = fleet.nodes().get(0).configuration().version() + 1;
     var unused = fleet.apply("{kind: workspace, name: x" + number + ", template: t}");
-    long took = 0;
-    long step = 10;
-    long share = seconds * 1000L / changes;
-    for (long at = 0; at < share; at += step) {
-      fleet.clock().advance(Duration.ofMillis(step));
-      if (took == 0 && isInForce(fleet, target)) {
-        took = at + step;
+    long millisToInForce = 0;
+    long stepMillis = 10;
+    long shareMillis = seconds * 1000L / changes;
+    for (long elapsedMillis = 0; elapsedMillis < shareMillis; elapsedMillis += stepMillis) {
+      fleet.clock().advance(Duration.ofMillis(stepMillis));
+      if (millisToInForce == 0 && isInForce(fleet, target)) {
+        millisToInForce = elapsedMillis + stepMillis;
       }
     }
-    return took;
+    return millisToInForce;
   }
 
   private static boolean isInForce(InMemoryFleet fleet, long version) {
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/EngineCore.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/EngineCore.java
@@ -24,13 +24,13 @@
 import org.vaneworks.state.StreamId;
 
 /**
- * A model engine without a socket: one layer range, continuous batching, prefix cache, fenced
- * sessions, and a ledger of every run.
+ * An in-memory model engine for one layer range, with continuous batching, a prefix cache, fenced
+ * sessions and a ledger of all steps.
  *
- * <p>Thread-safe; futures are completed with no lock held.
+ * <p>Thread-safe; futures are completed without holding a lock.
  */
 public final class EngineCore {
-  private static final int LEDGER_LIMIT = 500_000;
+  private static final int MAX_LEDGER_ENTRIES = 500_000;
 
   private record Lineage(StreamId stream, LayerRange layers) {}
 
@@ -73,7 +73,7 @@
   private boolean leaving;
 
   @GuardedBy("this")
-  private EndpointStatus report;
+  private EndpointStatus lastReport;
 
   @GuardedBy("this")
   private long reportedAt;
@@ -87,10 +87,10 @@
 
           @Override
           protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > options.prefixBlocks();
+            return size() > options.prefixCacheBlocks();
           }
         };
-    this.report = new EndpointStatus(options.endpoint(), false, 0, 0, 0);
+    this.lastReport = new EndpointStatus(options.endpoint(), false, 0, 0, 0);
   }
 
   /** Returns an idle engine. */
@@ -98,37 +98,41 @@
     return new EngineCore(options, executor);
   }
 
-  /** Returns what the engine is like. */
+  /** Returns the options of the engine. */
   public EngineOptions options() {
     return options;
   }
 
-  /** Returns the status; its load is as old as the options say. */
+  /** Returns the status. Its load figures are refreshed only at the configured interval. */
   public synchronized EndpointStatus status() {
     long now = executor.currentTime(TimeUnit.NANOSECONDS);
-    if (now - reportedAt >= options.reportEvery().toNanos()) {
+    if (now - reportedAt >= options.reportInterval().toNanos()) {
       reportedAt = now;
-      report =
+      lastReport =
           new EndpointStatus(
               options.endpoint(),
               leaving,
               sessions.size(),
               pending.size(),
-              report.reportSequence() + 1);
+              lastReport.reportSequence() + 1);
     }
     return new EndpointStatus(
-        options.endpoint(), leaving, report.running(), report.queued(), report.reportSequence());
+        options.endpoint(),
+        leaving,
+        lastReport.running(),
+        lastReport.queued(),
+        lastReport.reportSequence());
   }
 
-  /** Makes the engine say that it leaves. */
-  public synchronized void leave() {
+  /** Makes the engine report that it is leaving. */
+  public synchronized void markLeaving() {
     leaving = true;
   }
 
   /**
    * Runs a step in the next batch.
    *
-   * @return the reply, or a failure with {@link EngineRefusal} if nothing ran
+   * @return the reply; fails with an {@link EngineRefusal} if the step was not run
    */
   public CompletableFuture<StepReply> step(StepCall call) {
     CompletableFuture<StepReply> reply = new CompletableFuture<>();
@@ -157,11 +161,11 @@
       return "stale-epoch";
     }
     Session session = sessions.get(lineage);
-    boolean opens = session == null || session.epoch != epoch;
-    if (opens && sessions.size() >= options.maxSessions()) {
+    boolean opensSession = session == null || session.epoch != epoch;
+    if (opensSession && sessions.size() >= options.maxSessions()) {
       return EngineJson.OVERLOADED;
     }
-    int expected = opens ? call.history().size() : session.steps;
+    int expected = opensSession ? call.history().size() : session.steps;
     return expected == call.step() ? "" : "out-of-order";
   }
 
@@ -169,7 +173,7 @@
   private void startBatch() {
     List<Job> batch = new ArrayList<>();
     double millis = options.stepMillis();
-    while (!pending.isEmpty() && batch.size() < options.maxBatch()) {
+    while (!pending.isEmpty() && batch.size() < options.maxBatchSize()) {
       Job job = pending.poll();
       batch.add(job);
       millis += options.perSessionMillis() + promptMillis(job.call());
@@ -178,7 +182,7 @@
     executor.schedule(() -> finishBatch(batch), (long) (millis * 1e6), TimeUnit.NANOSECONDS);
   }
 
-  /** Time for the prompt's positions, less those of the blocks that the prefix cache holds. */
+  /** Returns the prefill time of a call's positions, without those in the prefix cache. */
   @GuardedBy("this")
   private double promptMillis(StepCall call) {
     if (call.step() > 0 && !call.rebuilds()) {
@@ -198,10 +202,12 @@
   }
 
   private List<String> blocksOf(String input) {
-    return isFirst() ? ReferenceModel.blocksOf(input) : ReferenceModel.activationBlocks(input);
+    return holdsFirstLayer()
+        ? ReferenceModel.blocksOf(input)
+        : ReferenceModel.activationBlocks(input);
   }
 
-  private boolean isFirst() {
+  private boolean holdsFirstLayer() {
     return options.endpoint().layers().get().from() == 0;
   }
 
@@ -222,7 +228,7 @@
   @GuardedBy("this")
   private Runnable runJob(Job job) {
     StepCall call = job.call();
-    // The session may have been ended or fenced out while the call waited for its batch.
+    // The session may have been ended or fenced while the call was queued.
     String refusal = refusalOf(call);
     if (!refusal.isEmpty()) {
       return () -> job.reply().completeExceptionally(new EngineRefusal(refusal));
@@ -251,13 +257,14 @@
 
   @GuardedBy("this")
   private String runStep(SessionId id, Session session, String input, boolean rebuilt) {
-    if (ledger.size() < LEDGER_LIMIT) {
-      String prompt = isFirst() && session.steps == 0 ? input : "";
+    if (ledger.size() < MAX_LEDGER_ENTRIES) {
+      String prompt = holdsFirstLayer() && session.steps == 0 ? input : "";
       ledger.add(new LedgerEntry(id, session.steps, rebuilt, prompt));
     }
     session.steps++;
     LayerRange range = id.layers();
-    long value = isFirst() ? ReferenceModel.valueOf(input) : ReferenceModel.activationValue(input);
+    long value =
+        holdsFirstLayer() ? ReferenceModel.valueOf(input) : ReferenceModel.activationValue(input);
     long output = ReferenceModel.run(value, range.from(), session.states);
     if (range.to() == options.modelLayers()) {
       return ReferenceModel.tokenOf(output);
@@ -265,18 +272,18 @@
     return ReferenceModel.activation(output, session.steps == 1 ? blocksOf(input) : List.of());
   }
 
-  /** Ends a session; a call that waits for its batch is refused. */
+  /** Ends a session; its queued calls are refused. */
   public synchronized void end(SessionId id) {
     Lineage lineage = new Lineage(id.stream(), id.layers());
     Session session = sessions.get(lineage);
     if (session != null && session.epoch <= id.epoch()) {
       sessions.remove(lineage);
     }
-    // An ended lineage must stay ended, also if its calls come later than this.
+    // Fences the lineage, so that calls that arrive late do not open the session again.
     fences.merge(lineage, id.epoch() + 1, Math::max);
   }
 
-  /** Copies a session out. */
+  /** Returns a copy of the state of a session. */
   public synchronized SessionExport exportSession(SessionId id) {
     Session session = sessions.get(new Lineage(id.stream(), id.layers()));
     if (session == null || session.epoch != id.epoch()) {
@@ -287,7 +294,7 @@
     return new SessionExport(id, session.steps, state);
   }
 
-  /** Puts a session in. */
+  /** Creates or replaces a session from an exported state. */
   public synchronized void importSession(SessionId as, SessionExport export) {
     Lineage lineage = new Lineage(as.stream(), as.layers());
     if (as.epoch() < fences.getOrDefault(lineage, 0)) {
@@ -301,12 +308,12 @@
     fences.merge(lineage, as.epoch(), Math::max);
   }
 
-  /** Returns every run so far, in order. */
+  /** Returns all ledger entries so far, in execution order. */
   public synchronized ImmutableList<LedgerEntry> ledger() {
     return ImmutableList.copyOf(ledger);
   }
 
-  /** Returns how many sessions are held. */
+  /** Returns the number of open sessions. */
   public synchronized int sessions() {
     return sessions.size();
   }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/EngineOptions.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/EngineOptions.java
@@ -6,17 +6,18 @@
 import org.vaneworks.state.Endpoint;
 
 /**
- * What an engine stand-in is like.
+ * The options of a simulated engine.
  *
- * @param endpoint how it describes itself
- * @param modelLayers how many layers the whole model has
- * @param stepMillis time of a step beside no other session
- * @param perSessionMillis what each further session in the batch adds
- * @param perPositionMillis what each prompt position that is not cached adds
- * @param maxBatch most calls in one batch
- * @param maxSessions most sessions held
- * @param reportEvery how old a load report may get
- * @param prefixBlocks how many prompt blocks the prefix cache holds
+ * @param endpoint the endpoint that the engine reports in its status
+ * @param modelLayers number of layers of the complete model
+ * @param stepMillis base duration of a batch, in milliseconds
+ * @param perSessionMillis additional duration for each call in the batch, in milliseconds
+ * @param perPositionMillis additional duration for each prompt position that is not cached, in
+ *     milliseconds
+ * @param maxBatchSize maximum number of calls in a batch
+ * @param maxSessions maximum number of open sessions
+ * @param reportInterval interval at which the load figures of the status are refreshed
+ * @param prefixCacheBlocks capacity of the prefix cache, in prompt blocks
  */
 public record EngineOptions(
     Endpoint endpoint,
@@ -24,18 +25,21 @@
     double stepMillis,
     double perSessionMillis,
     double perPositionMillis,
-    int maxBatch,
+    int maxBatchSize,
     int maxSessions,
-    Duration reportEvery,
-    int prefixBlocks) {
-  /** Checks the bounds. */
+    Duration reportInterval,
+    int prefixCacheBlocks) {
+  /** Validates the components. */
   public EngineOptions {
-    checkArgument(endpoint.isEngine(), "an engine holds layers: %s", endpoint);
-    checkArgument(endpoint.layers().get().to() <= modelLayers, "layers: %s", endpoint.layers());
+    checkArgument(endpoint.isEngine(), "endpoint is not an engine: %s", endpoint);
+    checkArgument(
+        endpoint.layers().get().to() <= modelLayers,
+        "layers exceed the model: %s",
+        endpoint.layers());
     checkArgument(stepMillis > 0, "stepMillis must be positive: %s", stepMillis);
   }
 
-  /** Returns an engine with common sizes. */
+  /** Returns options with default sizes. */
   public static EngineOptions of(Endpoint endpoint, int modelLayers, double stepMillis) {
     return new EngineOptions(
         endpoint,
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/EngineRefusal.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/EngineRefusal.java
@@ -1,6 +1,6 @@
 package org.vaneworks.testlib;
 
-/** Says that an engine stand-in did not start a call, and why. */
+/** Thrown if a simulated engine refuses a call; no part of the call was run. */
 public final class EngineRefusal extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
@@ -11,7 +11,7 @@
     this.code = code;
   }
 
-  /** Returns why. */
+  /** Returns the refusal code of the engine protocol. */
   public String code() {
     return code;
   }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/EngineServer.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/EngineServer.java
@@ -12,7 +12,7 @@
 import org.vaneworks.testlib.StandInServer.Call;
 import org.vaneworks.testlib.StandInServer.Reply;
 
-/** An engine stand-in as a server. */
+/** Serves a simulated engine over HTTP. */
 public final class EngineServer {
   private static final int NOT_FOUND = 404;
 
@@ -23,14 +23,15 @@
   }
 
   /**
-   * Listens.
+   * Starts a server.
    *
-   * @param maker makes the engine for the address that it got
+   * @param factory creates the engine for the address that the server is bound to
    */
   public static HttpServerContext listen(
-      HostPort address, Executor executor, Function<HostPort, EngineCore> maker) throws Exception {
-    return StandInServer.listenAs(
-        address, executor, own -> new EngineServer(maker.apply(own))::handle);
+      HostPort address, Executor executor, Function<HostPort, EngineCore> factory)
+      throws Exception {
+    return StandInServer.listenWithBoundAddress(
+        address, executor, boundAddress -> new EngineServer(factory.apply(boundAddress))::handle);
   }
 
   private CompletableFuture<Reply> handle(Call call) {
@@ -47,7 +48,7 @@
           Reply.ok(EngineJson.writeExport(core.exportSession(EngineJson.readSession(call.body()))));
       case EngineJson.IMPORT_PATH -> importSession(call);
       case "/leave" -> {
-        core.leave();
+        core.markLeaving();
         yield Reply.ok("");
       }
       case "/ledger" -> Reply.ok(Json.write(ledger()));
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/FreezableExecutor.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/FreezableExecutor.java
@@ -8,14 +8,15 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * One process's share of an executor: it can be frozen, as by SIGSTOP, while its clock goes on.
+ * The executor of one simulated process. It can be frozen, as SIGSTOP does, while its clock
+ * continues.
  *
- * <p>What falls due while it is frozen runs once it thaws. Meant for a {@link PausedExecutor}, so
- * not thread-safe.
+ * <p>Tasks that become due while it is frozen run after it is thawed. Intended for a {@link
+ * PausedExecutor}; not thread-safe.
  */
 final class FreezableExecutor implements Executor {
   private final Executor delegate;
-  private final List<Runnable> due = new ArrayList<>();
+  private final List<Runnable> dueWhileFrozen = new ArrayList<>();
   private boolean frozen;
 
   FreezableExecutor(Executor delegate) {
@@ -28,8 +29,8 @@
 
   void thaw() {
     frozen = false;
-    List<Runnable> tasks = new ArrayList<>(due);
-    due.clear();
+    List<Runnable> tasks = new ArrayList<>(dueWhileFrozen);
+    dueWhileFrozen.clear();
     tasks.forEach(delegate::execute);
   }
 
@@ -52,16 +53,16 @@
             task.run();
           }
         };
-    Cancellable timer = delegate.schedule(() -> runOrHold(unlessCancelled), delay, unit);
+    Cancellable timer = delegate.schedule(() -> runOrQueue(unlessCancelled), delay, unit);
     return () -> {
       cancelled.set(true);
       timer.cancel();
     };
   }
 
-  private void runOrHold(Runnable task) {
+  private void runOrQueue(Runnable task) {
     if (frozen) {
-      due.add(task);
+      dueWhileFrozen.add(task);
     } else {
       task.run();
     }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryEndpoints.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryEndpoints.java
@@ -30,27 +30,27 @@
 import org.vaneworks.state.Refusal;
 
 /**
- * Links to engines and plain services in the same process, with faults.
+ * Simulates the links to engines and plain services in the same process, with fault injection.
  *
- * <p>A link delays each way by a seeded chance; an endpoint can be killed, frozen and thawed; an
- * answer can be lost, or exchanged with another stream's. Meant for a {@link PausedExecutor}, so
- * not thread-safe.
+ * <p>Each direction of a link has a random delay. Endpoints can be killed, frozen and thawed, and
+ * answers can be lost or swapped with those of other streams. Intended for a {@link
+ * PausedExecutor}; not thread-safe.
  */
 public final class InMemoryEndpoints implements EndpointClient {
-  private static final Duration CONNECTION_LIMIT = Duration.ofSeconds(6);
+  private static final Duration CONNECTION_TIMEOUT = Duration.ofSeconds(6);
 
-  /** One endpoint behind its link. */
+  /** An endpoint and the state of the link to it. */
   private static final class Link {
     private final EngineCore engine;
     private final ServiceCore service;
     private final Endpoint endpoint;
-    private final List<Runnable> heldWhileFrozen = new ArrayList<>();
+    private final List<Runnable> queuedWhileFrozen = new ArrayList<>();
     private final List<CompletableFuture<?>> inFlight = new ArrayList<>();
     private boolean killed;
     private boolean frozen;
     private boolean leaving;
     private int answersToLose;
-    private int answersToExchange;
+    private int answersToSwap;
     private Duration delay = Duration.ofMillis(1);
 
     Link(Endpoint endpoint, EngineCore engine, ServiceCore service) {
@@ -60,20 +60,20 @@
     }
   }
 
-  private record HeldReply(CompletableFuture<StepReply> answer, StepReply reply) {}
+  private record PendingReply(CompletableFuture<StepReply> answer, StepReply reply) {}
 
   private final Executor executor;
   private final Random random;
   private final Map<HostPort, Link> links = new LinkedHashMap<>();
   private final Set<HostPort> forgotten = new HashSet<>();
-  private final List<HeldReply> exchanged = new ArrayList<>();
+  private final List<PendingReply> unpaired = new ArrayList<>();
 
   private InMemoryEndpoints(Executor executor, Random random) {
     this.executor = executor;
     this.random = random;
   }
 
-  /** Returns links to nothing yet. */
+  /** Returns an instance without endpoints. */
   public static InMemoryEndpoints create(Executor executor, Random random) {
     return new InMemoryEndpoints(executor, random);
   }
@@ -89,7 +89,7 @@
     links.put(endpoint.address(), new Link(endpoint, null, service));
   }
 
-  /** Returns the engines, killed ones too. */
+  /** Returns all engines, including killed ones. */
   public ImmutableList<EngineCore> engines() {
     return links.values().stream()
         .filter(link -> link.engine != null)
@@ -97,50 +97,50 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  /** Kills an endpoint: what is in flight breaks, and nothing connects any more. */
+  /** Kills an endpoint: calls in flight fail, and new connections are refused. */
   public void kill(HostPort address) {
     Link link = links.get(address);
     link.killed = true;
-    List<CompletableFuture<?>> broken = new ArrayList<>(link.inFlight);
+    List<CompletableFuture<?>> failed = new ArrayList<>(link.inFlight);
     link.inFlight.clear();
-    broken.forEach(answer -> answer.completeExceptionally(reset().toException()));
+    failed.forEach(answer -> answer.completeExceptionally(connectionReset().toException()));
   }
 
-  /** Freezes an endpoint: calls arrive and wait. */
+  /** Freezes an endpoint: calls to it and its answers are queued. */
   public void freeze(HostPort address) {
     links.get(address).frozen = true;
   }
 
-  /** Thaws an endpoint: it works off what arrived meanwhile. */
+  /** Thaws an endpoint, which then processes the queued calls and answers. */
   public void thaw(HostPort address) {
     Link link = links.get(address);
     link.frozen = false;
-    List<Runnable> held = new ArrayList<>(link.heldWhileFrozen);
-    link.heldWhileFrozen.clear();
-    held.forEach(executor::execute);
+    List<Runnable> queued = new ArrayList<>(link.queuedWhileFrozen);
+    link.queuedWhileFrozen.clear();
+    queued.forEach(executor::execute);
   }
 
-  /** Loses the endpoint's next answers, after the work was done. */
+  /** Drops the next step answers of an endpoint, after the steps have run. */
   public void loseAnswers(HostPort address, int count) {
     links.get(address).answersToLose = count;
   }
 
-  /** Exchanges the endpoint's next answers with each other's, in pairs. */
+  /** Swaps the next step answers of an endpoint in pairs. */
   public void exchangeAnswers(HostPort address, int count) {
-    links.get(address).answersToExchange = count;
+    links.get(address).answersToSwap = count;
   }
 
-  /** Sets the delay of each way of an endpoint's link. */
-  public void delay(HostPort address, Duration delay) {
+  /** Sets the mean one-way delay of the link to an endpoint. */
+  public void setDelay(HostPort address, Duration delay) {
     links.get(address).delay = delay;
   }
 
-  /** Makes an endpoint say that it leaves. */
-  public void leave(HostPort address) {
+  /** Makes an endpoint report that it is leaving. */
+  public void markLeaving(HostPort address) {
     Link link = links.get(address);
     link.leaving = true;
     if (link.engine != null) {
-      link.engine.leave();
+      link.engine.markLeaving();
     }
   }
 
@@ -149,7 +149,7 @@
     forgotten.add(address);
   }
 
-  /** Returns the addresses that some node let go of. */
+  /** Returns the addresses whose connections at least one node has closed. */
   public ImmutableSet<HostPort> forgotten() {
     return ImmutableSet.copyOf(forgotten);
   }
@@ -168,31 +168,32 @@
   @Override
   public CompletableFuture<StepReply> step(Endpoint endpoint, StepCall call) {
     Link link = links.get(endpoint.address());
-    CompletableFuture<StepReply> answer = call(endpoint.address(), each -> each.engine.step(call));
-    if (link.answersToExchange == 0) {
+    CompletableFuture<StepReply> answer =
+        call(endpoint.address(), target -> target.engine.step(call));
+    if (link.answersToSwap == 0) {
       return answer;
     }
-    link.answersToExchange--;
-    CompletableFuture<StepReply> other = new CompletableFuture<>();
+    link.answersToSwap--;
+    CompletableFuture<StepReply> swapped = new CompletableFuture<>();
     Async.onDone(
         answer,
         executor,
         (reply, failure) -> {
           if (failure != null) {
-            other.completeExceptionally(failure);
+            swapped.completeExceptionally(failure);
           } else {
-            exchange(new HeldReply(other, reply));
+            swap(new PendingReply(swapped, reply));
           }
         });
-    return other;
+    return swapped;
   }
 
-  private void exchange(HeldReply second) {
-    if (exchanged.isEmpty()) {
-      exchanged.add(second);
+  private void swap(PendingReply second) {
+    if (unpaired.isEmpty()) {
+      unpaired.add(second);
       return;
     }
-    HeldReply first = exchanged.remove(0);
+    PendingReply first = unpaired.remove(0);
     first.answer().complete(second.reply());
     second.answer().complete(first.reply());
   }
@@ -225,9 +226,9 @@
                 }));
   }
 
-  private static <T> CompletableFuture<T> attempt(Supplier<T> work) {
+  private static <T> CompletableFuture<T> attempt(Supplier<T> handler) {
     try {
-      return CompletableFuture.completedFuture(work.get());
+      return CompletableFuture.completedFuture(handler.get());
     } catch (EngineRefusal e) {
       return CompletableFuture.failedFuture(e);
     }
@@ -239,35 +240,37 @@
         endpoint.address(), link -> CompletableFuture.completedFuture(link.service.run(call)));
   }
 
-  /** What arrives at an endpoint. */
+  /** The processing of a call at its endpoint. */
   @FunctionalInterface
-  private interface Work<T> {
-    CompletableFuture<T> at(Link link);
+  private interface Handler<T> {
+    CompletableFuture<T> run(Link link);
   }
 
-  private <T> CompletableFuture<T> call(HostPort address, Work<T> work) {
+  private <T> CompletableFuture<T> call(HostPort address, Handler<T> handler) {
     CompletableFuture<T> answer = new CompletableFuture<>();
     Link link = links.get(address);
     if (link == null || link.killed) {
       executor.schedule(
-          () -> answer.completeExceptionally(refusedConnection().toException()), jitter(link));
+          () -> answer.completeExceptionally(connectionRefused().toException()), randomDelay(link));
       return answer;
     }
     link.inFlight.add(answer);
-    executor.schedule(() -> arrive(link, work, answer), jitter(link));
-    executor.schedule(() -> answer.completeExceptionally(reset().toException()), CONNECTION_LIMIT);
+    executor.schedule(() -> arrive(link, handler, answer), randomDelay(link));
+    executor.schedule(
+        () -> answer.completeExceptionally(connectionReset().toException()), CONNECTION_TIMEOUT);
     return answer;
   }
 
-  private <T> void arrive(Link link, Work<T> work, CompletableFuture<T> answer) {
+  private <T> void arrive(Link link, Handler<T> handler, CompletableFuture<T> answer) {
     if (link.killed) {
       return;
     }
     if (link.frozen) {
-      link.heldWhileFrozen.add(() -> arrive(link, work, answer));
+      link.queuedWhileFrozen.add(() -> arrive(link, handler, answer));
       return;
     }
-    Async.onDone(work.at(link), executor, (value, failure) -> depart(link, answer, value, failure));
+    Async.onDone(
+        handler.run(link), executor, (value, failure) -> depart(link, answer, value, failure));
   }
 
   private <T> void depart(Link link, CompletableFuture<T> answer, T value, Throwable failure) {
@@ -275,14 +278,14 @@
       return;
     }
     if (link.frozen) {
-      link.heldWhileFrozen.add(() -> depart(link, answer, value, failure));
+      link.queuedWhileFrozen.add(() -> depart(link, answer, value, failure));
       return;
     }
     if (link.answersToLose > 0 && value instanceof StepReply) {
       link.answersToLose--;
       return;
     }
-    executor.schedule(() -> deliver(link, answer, value, failure), jitter(link));
+    executor.schedule(() -> deliver(link, answer, value, failure), randomDelay(link));
   }
 
   private <T> void deliver(Link link, CompletableFuture<T> answer, T value, Throwable failure) {
@@ -305,15 +308,15 @@
     return Refusal.mayHaveRun(Reason.ENDPOINT_LOST, failure.toString());
   }
 
-  private static Refusal refusedConnection() {
+  private static Refusal connectionRefused() {
     return Refusal.notRun(NotRunProof.NEVER_CONNECTED, Reason.ENDPOINT_LOST, "connection refused");
   }
 
-  private static Refusal reset() {
+  private static Refusal connectionReset() {
     return Refusal.mayHaveRun(Reason.ENDPOINT_LOST, "connection reset");
   }
 
-  private Duration jitter(Link link) {
+  private Duration randomDelay(Link link) {
     Duration base = link == null ? Duration.ofMillis(1) : link.delay;
     return Duration.ofNanos((long) (base.toNanos() * (0.5 + random.nextDouble())));
   }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryFleet.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryFleet.java
@@ -37,21 +37,20 @@
 import org.vaneworks.telemetry.Counters;
 
 /**
- * Whole nodes, engines and the platform in one process, under a paused clock.
+ * Runs complete nodes, engines and the platform in one process with a paused clock.
  *
- * <p>Everything that chance decides comes from one seed, so a run can be had again. Not
- * thread-safe.
+ * <p>All random decisions derive from one seed, so runs are reproducible. Not thread-safe.
  */
 public final class InMemoryFleet {
-  /** The model that all engines of the fleet serve. */
+  /** Name of the model that all engines of the fleet serve. */
   public static final String MODEL = "model";
 
-  /** The workspace that requests come from unless said otherwise. */
+  /** Default workspace of requests. */
   public static final String WORKSPACE = "ward";
 
   private static final int FIRST_PORT = 10_000;
   private static final int MAX_TOKENS = 1000;
-  private static final Duration SETTLED_AFTER = Duration.ofSeconds(20);
+  private static final Duration SETTLE_TIME = Duration.ofSeconds(20);
   private static final StopTimes STOP_TIMES =
       new StopTimes(Duration.ofSeconds(1), Duration.ofSeconds(60));
 
@@ -69,7 +68,7 @@
   private final Map<String, HostPort> addresses = new LinkedHashMap<>();
   private int nextPort = FIRST_PORT;
   private int changes;
-  private int runs;
+  private int incarnations;
 
   private InMemoryFleet(int layers, long seed) {
     this.layers = layers;
@@ -80,9 +79,10 @@
   }
 
   /**
-   * Returns a fleet with a platform and nothing else.
+   * Returns a fleet with a platform, but without nodes and engines.
    *
-   * @param layers layers of the model
+   * @param layers number of layers of the model
+   * @param seed seed of all random decisions
    */
   public static InMemoryFleet create(int layers, long seed) {
     return new InMemoryFleet(layers, seed);
@@ -103,22 +103,22 @@
     return boxes;
   }
 
-  /** Returns the links to the endpoints. */
+  /** Returns the simulated links to the endpoints. */
   public InMemoryEndpoints endpoints() {
     return endpoints;
   }
 
-  /** Returns the editor of the configuration. */
+  /** Returns the configuration editor. */
   public ConfigurationEditor editor() {
     return editor;
   }
 
-  /** Returns a node. */
+  /** Returns a running node, or null if there is none with this name. */
   public Node node(String name) {
     return nodes.get(name);
   }
 
-  /** Returns all nodes. */
+  /** Returns all running nodes. */
   public ImmutableList<Node> nodes() {
     return ImmutableList.copyOf(nodes.values());
   }
@@ -128,24 +128,28 @@
     return counters.get(node);
   }
 
-  /** Returns where a box listens. */
+  /** Returns the listen address of a box. */
   public HostPort addressOf(String box) {
     return addresses.get(box);
   }
 
-  /** Adds an engine, listed and ready. */
+  /** Adds a ready engine and its entry in the box list. */
   public EngineCore addEngine(String box, int from, int to, double stepMillis) {
     return addEngine(box, from, to, stepMillis, "a", Duration.ofMillis(1));
   }
 
   /**
-   * Adds an engine, listed and ready.
+   * Adds a ready engine and its entry in the box list.
    *
+   * @param box name of the box
+   * @param from first layer
+   * @param to end of the layer range, exclusive
+   * @param stepMillis duration of a step without other sessions, in milliseconds
    * @param accelerator kind of accelerator
-   * @param link delay of each way to it
+   * @param linkDelay mean one-way delay of the link to the engine
    */
   public EngineCore addEngine(
-      String box, int from, int to, double stepMillis, String accelerator, Duration link) {
+      String box, int from, int to, double stepMillis, String accelerator, Duration linkDelay) {
     HostPort address = nextAddress(box);
     Endpoint endpoint =
         new Endpoint(
@@ -158,12 +162,12 @@
             true);
     EngineCore engine = EngineCore.create(EngineOptions.of(endpoint, layers, stepMillis), executor);
     endpoints.add(engine);
-    endpoints.delay(address, link);
+    endpoints.setDelay(address, linkDelay);
     boxes.put(new Box(box, Box.Role.ENDPOINT, address, "dc1", false));
     return engine;
   }
 
-  /** Adds a plain service, listed and ready. */
+  /** Adds a ready plain service and its entry in the box list. */
   public ServiceCore addService(String box, String name) {
     HostPort address = nextAddress(box);
     ServiceCore service = ServiceCore.create();
@@ -174,71 +178,71 @@
     return service;
   }
 
-  /** Adds a node and starts it. */
+  /** Adds and starts a node with default limits. */
   public Node addNode(String name) {
     return addNode(name, NodeLimits.defaults().withStop(STOP_TIMES));
   }
 
-  /** Adds a node with bounds of its own, or another run of one, and starts it. */
+  /** Adds and starts a node; a node with the name of an earlier one is a new incarnation of it. */
   public Node addNode(String name, NodeLimits limits) {
     HostPort address = addresses.containsKey(name) ? addresses.get(name) : nextAddress(name);
-    Counters own = Counters.in(new SimpleMeterRegistry());
+    Counters nodeCounters = Counters.in(new SimpleMeterRegistry());
     FreezableExecutor process = new FreezableExecutor(executor);
     processes.put(name, process);
-    NodeOutside outside =
+    NodeOutside dependencies =
         new NodeOutside(
             process,
-            new Random(seed + address.port() + 1000L * ++runs),
+            new Random(seed + address.port() + 1000L * ++incarnations),
             store,
             boxes,
             endpoints,
             peers.linkFrom(address),
             ConfigurationJson.create(),
             ClaimJson.create(),
-            own);
+            nodeCounters);
     NodeSettings settings =
-        new NodeSettings(name, "i" + runs, "secret" + runs, address, "dc1", limits);
-    Node node = Node.create(settings, outside);
+        new NodeSettings(name, "i" + incarnations, "secret" + incarnations, address, "dc1", limits);
+    Node node = Node.create(settings, dependencies);
     peers.add(address, node);
     nodes.put(name, node);
-    counters.put(name, own);
+    counters.put(name, nodeCounters);
     boxes.put(new Box(name, Box.Role.ENTRY, address, "dc1", false));
     node.start();
     return node;
   }
 
-  /** Kills a node: it neither hears nor is heard, and its callers' connections are gone. */
+  /** Kills a node: it sends and receives nothing more, and its callers' connections are lost. */
   public void killNode(String name) {
     peers.kill(addresses.get(name));
     processes.get(name).freeze();
     nodes.remove(name);
   }
 
-  /** Freezes a node, as by SIGSTOP. */
+  /** Freezes a node, as SIGSTOP does. */
   public void freezeNode(String name) {
     processes.get(name).freeze();
     peers.freeze(addresses.get(name));
   }
 
-  /** Lets a frozen node go on. */
+  /** Resumes a frozen node. */
   public void thawNode(String name) {
     processes.get(name).thaw();
     peers.thaw(addresses.get(name));
   }
 
-  /** Stops a node as planned; returns the number of requests that were cut, once it is done. */
+  /** Stops a node gracefully and returns the number of requests that were aborted. */
   public CompletableFuture<Integer> stopNode(String name) {
     return nodes
         .get(name)
         .stop()
         .thenApply(
-            cut -> {
+            aborted -> {
               killNode(name);
-              return cut;
+              return aborted;
             });
   }
 
-  /** Returns the links between nodes. */
+  /** Returns the simulated links between nodes. */
   public InMemoryPeers peers() {
     return peers;
   }
@@ -249,7 +253,7 @@
     return address;
   }
 
-  /** Makes a change of the configuration from YAML. */
+  /** Applies a configuration change given as YAML. */
   public CompletableFuture<ConfigurationHead> apply(String yaml) {
     ImmutableList.Builder<Template> templates = ImmutableList.builder();
     ImmutableList.Builder<Workspace> workspaces = ImmutableList.builder();
@@ -274,7 +278,7 @@
         OptionalLong.empty());
   }
 
-  /** Returns the usual configuration, as YAML. */
+  /** Returns the default configuration as YAML. */
   public String configuration(int maxTokens) {
     return "{kind: template, name: t, model: {name: model, layers: "
         + layers
@@ -286,14 +290,20 @@
         + "{kind: workspace, name: ward, template: t}\n";
   }
 
-  /** Puts the usual configuration in force and waits until nodes and endpoints know each other. */
+  /**
+   * Applies the default configuration and waits until nodes and endpoints have discovered each
+   * other.
+   */
   public void settle() {
     CompletableFuture<ConfigurationHead> applied = apply(configuration(MAX_TOKENS));
-    executor.advance(SETTLED_AFTER);
-    checkState(applied.isDone() && !applied.isCompletedExceptionally(), "not applied: %s", applied);
+    executor.advance(SETTLE_TIME);
+    checkState(
+        applied.isDone() && !applied.isCompletedExceptionally(),
+        "configuration was not applied: %s",
+        applied);
   }
 
-  /** Asks a node for a completion. */
+  /** Requests a completion from a node. */
   public RecordedAnswer ask(String node, String prompt, int tokens, CallerOptions options) {
     RecordedAnswer answer = RecordedAnswer.to(prompt);
     Runnable unused =
@@ -305,8 +315,8 @@
     return answer;
   }
 
-  /** Returns a judge over all that ran so far. */
-  public Judge judge() {
-    return Judge.of(layers, endpoints.engines());
+  /** Returns a verifier of the answers for all steps that engines have run so far. */
+  public AnswerVerifier verifier() {
+    return AnswerVerifier.of(layers, endpoints.engines());
   }
 }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryPeers.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryPeers.java
@@ -17,24 +17,25 @@
 import org.vaneworks.state.HostPort;
 
 /**
- * Links between nodes of one process, with faults; every message goes through the real codec.
+ * Simulates the links between nodes in the same process, with fault injection. Every message is
+ * encoded and decoded with the product's codec.
  *
- * <p>Meant for a {@link PausedExecutor}, so not thread-safe.
+ * <p>Intended for a {@link PausedExecutor}; not thread-safe.
  */
 public final class InMemoryPeers {
   private static final int MAX_DELAY_MICROS = 2000;
 
-  /** A one-way link. */
-  private record Way(HostPort from, HostPort to) {}
+  /** One direction of the link between two nodes. */
+  private record Direction(HostPort from, HostPort to) {}
 
   private final Executor executor;
   private final Random random;
   private final Map<HostPort, Node> nodes = new LinkedHashMap<>();
   private final Set<HostPort> killed = new HashSet<>();
   private final Set<HostPort> frozen = new HashSet<>();
-  private final Set<Way> cut = new HashSet<>();
+  private final Set<Direction> blocked = new HashSet<>();
   private final Map<HostPort, Integer> repliesToLose = new LinkedHashMap<>();
-  private final Map<HostPort, Runnable> held = new LinkedHashMap<>();
+  private final Map<HostPort, Runnable> queuedWhileFrozen = new LinkedHashMap<>();
   private long messages;
   private long bytes;
 
@@ -43,7 +44,7 @@
     this.random = random;
   }
 
-  /** Returns links between no nodes. */
+  /** Returns an instance without nodes. */
   public static InMemoryPeers create(Executor executor, Random random) {
     return new InMemoryPeers(executor, random);
   }
@@ -54,54 +55,54 @@
     killed.remove(address);
   }
 
-  /** Returns the link that a node at an address sends on. */
+  /** Returns the link on which the node at an address sends its requests. */
   public PeerLink linkFrom(HostPort from) {
-    return (to, request, limit) -> {
-      PeerException late = PeerException.unanswered(to + " did not reply in " + limit);
-      return Async.within(executor, limit, send(from, to, request), late);
+    return (to, request, timeout) -> {
+      PeerException unanswered = PeerException.unanswered(to + " did not reply in " + timeout);
+      return Async.within(executor, timeout, send(from, to, request), unanswered);
     };
   }
 
-  /** Kills a node: nothing gets in or out. */
+  /** Kills a node: it sends and receives nothing more. */
   public void kill(HostPort address) {
     killed.add(address);
   }
 
-  /** Freezes a node: what arrives waits, and it sends nothing. */
+  /** Freezes a node: incoming requests are queued, and it sends nothing. */
   public void freeze(HostPort address) {
     frozen.add(address);
   }
 
-  /** Thaws a node: it works off what arrived. */
+  /** Thaws a node, which then serves the queued requests. */
   public void thaw(HostPort address) {
     frozen.remove(address);
-    Runnable waiting = held.remove(address);
-    if (waiting != null) {
-      executor.execute(waiting);
+    Runnable queued = queuedWhileFrozen.remove(address);
+    if (queued != null) {
+      executor.execute(queued);
     }
   }
 
-  /** Cuts the way from one node to another, and not the way back. */
-  public void cut(HostPort from, HostPort to) {
-    cut.add(new Way(from, to));
+  /** Blocks the link from one node to another, but not the opposite direction. */
+  public void blockLink(HostPort from, HostPort to) {
+    blocked.add(new Direction(from, to));
   }
 
-  /** Mends every cut. */
-  public void mend() {
-    cut.clear();
+  /** Unblocks all links. */
+  public void restoreLinks() {
+    blocked.clear();
   }
 
-  /** Loses the next replies that a node gives, after it did what was asked. */
+  /** Drops the next replies of a node, after it has served the requests. */
   public void loseReplies(HostPort address, int count) {
     repliesToLose.put(address, count);
   }
 
-  /** Returns how many messages were sent. */
+  /** Returns the number of messages sent. */
   public long messages() {
     return messages;
   }
 
-  /** Returns how many bytes the messages had. */
+  /** Returns the total size of the messages sent, in bytes. */
   public long bytes() {
     return bytes;
   }
@@ -113,12 +114,13 @@
     }
     if (killed.contains(to) || !nodes.containsKey(to)) {
       executor.schedule(
-          () -> reply.completeExceptionally(PeerException.notSent("connection refused")), delay());
+          () -> reply.completeExceptionally(PeerException.notSent("connection refused")),
+          randomDelay());
       return reply;
     }
-    byte[] frame = count(PeerCodec.encode(0, request));
-    if (!cut.contains(new Way(from, to))) {
-      executor.schedule(() -> arrive(from, to, frame, reply), delay());
+    byte[] frame = recordSent(PeerCodec.encode(0, request));
+    if (!blocked.contains(new Direction(from, to))) {
+      executor.schedule(() -> arrive(from, to, frame, reply), randomDelay());
     }
     return reply;
   }
@@ -129,11 +131,11 @@
       return;
     }
     if (frozen.contains(to)) {
-      Runnable before = held.getOrDefault(to, () -> {});
-      held.put(
+      Runnable earlier = queuedWhileFrozen.getOrDefault(to, () -> {});
+      queuedWhileFrozen.put(
           to,
           () -> {
-            before.run();
+            earlier.run();
             arrive(from, to, frame, reply);
           });
       return;
@@ -150,26 +152,27 @@
       PeerMessage answer,
       Throwable failure,
       CompletableFuture<PeerMessage> reply) {
-    PeerMessage said = failure == null ? answer : new PeerMessage.Failed(failure.toString());
-    byte[] frame = count(PeerCodec.encode(0, said));
+    PeerMessage response = failure == null ? answer : new PeerMessage.Failed(failure.toString());
+    byte[] frame = recordSent(PeerCodec.encode(0, response));
     int toLose = repliesToLose.getOrDefault(to, 0);
-    if (toLose > 0 && !(said instanceof PeerMessage.Ack)) {
+    if (toLose > 0 && !(response instanceof PeerMessage.Ack)) {
       repliesToLose.put(to, toLose - 1);
       return;
     }
-    boolean lost = killed.contains(to) || frozen.contains(to) || cut.contains(new Way(to, from));
+    boolean lost =
+        killed.contains(to) || frozen.contains(to) || blocked.contains(new Direction(to, from));
     if (!lost) {
-      executor.schedule(() -> reply.complete(PeerCodec.decode(frame).message()), delay());
+      executor.schedule(() -> reply.complete(PeerCodec.decode(frame).message()), randomDelay());
     }
   }
 
-  private byte[] count(byte[] frame) {
+  private byte[] recordSent(byte[] frame) {
     messages++;
     bytes += frame.length;
     return frame;
   }
 
-  private Duration delay() {
+  private Duration randomDelay() {
     return Duration.ofNanos(1000L * (100 + random.nextInt(MAX_DELAY_MICROS)));
   }
 }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/LoadMain.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/LoadMain.java
@@ -27,15 +27,16 @@
 import picocli.CommandLine.Option;
 
 /**
- * Loads running nodes over HTTP, as callers behind a balancer would.
+ * Generates load on running nodes over HTTP, as callers behind a load balancer do.
  *
- * <p>Open loop: a request is sent when it is due, whatever became of the others, and times count
- * from then. A request goes to another node only if the first can't be connected to.
+ * <p>The load is open-loop: each request is sent at its scheduled time regardless of the others,
+ * and times are measured from the scheduled time. A request is sent to another node only if the
+ * connection to the first one fails.
  */
 @Command(name = "load", description = "Loads nodes over HTTP with streamed completions.")
 public final class LoadMain implements Callable<Integer> {
-  private static final Duration LIMIT = Duration.ofMinutes(2);
-  private static final String DATA = "data: ";
+  private static final Duration REQUEST_TIMEOUT = Duration.ofMinutes(2);
+  private static final String DATA_PREFIX = "data: ";
 
   @Option(names = "--node", split = ",", required = true, description = "Callers' addresses.")
   private List<String> nodes;
@@ -97,20 +98,21 @@
     Random balancer = new Random(seed);
     ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
     ExecutorService readers = Executors.newCachedThreadPool();
-    long begin = System.nanoTime();
+    long start = System.nanoTime();
     List<CompletableFuture<Void>> sent = new ArrayList<>();
     for (LoadProfile.Arrival arrival : profile.arrivals()) {
       int first = balancer.nextInt(nodes.size());
       CompletableFuture<Void> done = new CompletableFuture<>();
       sent.add(done);
-      long due = begin + arrival.at().toNanos();
-      Runnable ask =
+      long due = start + arrival.at().toNanos();
+      Runnable sendTask =
           () -> {
             send(arrival, first, report.measure(arrival.workspace(), due));
             done.complete(null);
           };
       var unused =
-          timer.schedule(() -> readers.execute(ask), due - System.nanoTime(), TimeUnit.NANOSECONDS);
+          timer.schedule(
+              () -> readers.execute(sendTask), due - System.nanoTime(), TimeUnit.NANOSECONDS);
     }
     CompletableFuture.allOf(sent.toArray(CompletableFuture[]::new)).get(10, TimeUnit.MINUTES);
     timer.shutdownNow();
@@ -129,7 +131,7 @@
             sink);
         return;
       } catch (ConnectException e) {
-        continue; // The balancer tries the next; nothing was sent.
+        continue; // Nothing was sent, so the load balancer tries the next node.
       } catch (IOException e) {
         sink.failed(Refusal.mayHaveRun(Reason.HOME_LOST, e.toString()));
         return;
@@ -151,7 +153,7 @@
                 .put("stream", true));
     return HttpRequest.newBuilder(
             URI.create("http://" + node + "/v1/workspaces/" + workspace + "/completions"))
-        .timeout(LIMIT)
+        .timeout(REQUEST_TIMEOUT)
         .header("content-type", "application/json")
         .header("vaneworks-repeatable", Boolean.toString(arrival.repeatable()))
         .POST(HttpRequest.BodyPublishers.ofString(body))
@@ -159,28 +161,29 @@
   }
 
   private static void read(HttpResponse<Stream<String>> response, AnswerSink sink) {
-    boolean[] whole = new boolean[1];
+    boolean[] complete = new boolean[1];
     String[] problem = {""};
     try (Stream<String> lines = response.body()) {
       lines.forEach(
           line -> {
-            if (line.equals(DATA + "[DONE]")) {
-              whole[0] = true;
+            if (line.equals(DATA_PREFIX + "[DONE]")) {
+              complete[0] = true;
             } else if (line.contains("\"verdict\"")) {
-              problem[0] = line.startsWith(DATA) ? line.substring(DATA.length()) : line;
-            } else if (line.startsWith(DATA) && line.contains("\"content\"")) {
+              problem[0] =
+                  line.startsWith(DATA_PREFIX) ? line.substring(DATA_PREFIX.length()) : line;
+            } else if (line.startsWith(DATA_PREFIX) && line.contains("\"content\"")) {
               sink.token(line);
             }
           });
     }
-    if (whole[0]) {
+    if (complete[0]) {
       sink.complete();
       return;
     }
-    sink.failed(problem[0].isEmpty() ? cut() : refusalOf(Json.parse(problem[0])));
+    sink.failed(problem[0].isEmpty() ? truncated() : refusalOf(Json.parse(problem[0])));
   }
 
-  private static Refusal cut() {
+  private static Refusal truncated() {
     return Refusal.mayHaveRun(Reason.INTERNAL, "the answer was cut short");
   }
 
@@ -193,6 +196,6 @@
             : Refusal.mayHaveRun(reason, "");
       }
     }
-    return cut();
+    return truncated();
   }
 }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/LoadProfile.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/LoadProfile.java
@@ -7,111 +7,114 @@
 import java.util.Random;
 
 /**
- * Open-loop arrivals, all from one seed.
+ * A reproducible open-loop sequence of request arrivals.
  *
- * @param shape how the rate moves
- * @param perSecond mean rate
- * @param length how long requests arrive
- * @param workspaces how many workspaces ask, evenly unless one floods
- * @param promptTokens shortest and longest prompt
- * @param newTokens shortest and longest answer
- * @param sharedPrefix share of prompts that begin with one of a few long prefixes
- * @param once share of requests that are not repeatable
- * @param seed source of chance
+ * @param shape how the arrival rate changes over time
+ * @param ratePerSecond mean arrival rate, in requests per second
+ * @param length duration in which requests arrive
+ * @param workspaces number of workspaces; they send equal shares except for {@link Shape#FLOOD}
+ * @param promptTokens range of prompt lengths, in tokens
+ * @param newTokens range of answer lengths, in tokens
+ * @param sharedPrefix share of prompts that start with one of a few long prefixes
+ * @param nonRepeatableShare share of requests that are not repeatable
+ * @param seed seed of the random numbers
  */
 public record LoadProfile(
     Shape shape,
-    double perSecond,
+    double ratePerSecond,
     Duration length,
     int workspaces,
     Range promptTokens,
     Range newTokens,
     double sharedPrefix,
-    double once,
+    double nonRepeatableShare,
     long seed) {
   private static final int CHARACTERS_PER_TOKEN = 4;
   private static final int PREFIXES = 8;
   private static final double BURST_FACTOR = 4;
   private static final double FLOOD_SHARE = 0.8;
 
-  /** How the rate of arrivals moves. */
+  /** How the arrival rate changes over time. */
   public enum Shape {
-    /** Poisson at the mean rate. */
+    /** Poisson arrivals at the mean rate. */
     STEADY,
-    /** From nothing to twice the mean. */
+    /** A linear increase from zero to twice the mean rate. */
     RAMP,
-    /** A shift change: four times the mean in the middle fifth, less before and after. */
+    /** Four times the mean rate in the middle fifth of the time, a quarter of it otherwise. */
     BURST,
-    /** Four in five requests come from the first workspace. */
+    /** Poisson arrivals at the mean rate, four fifths of them from the first workspace. */
     FLOOD
   }
 
   /**
-   * A range of whole numbers.
+   * A range of integers.
    *
-   * @param least least value
-   * @param most greatest value
+   * @param min smallest value, inclusive
+   * @param max largest value, inclusive
    */
-  public record Range(int least, int most) {
-    /** Checks the order. */
+  public record Range(int min, int max) {
+    /** Validates the range. */
     public Range {
-      checkArgument(least > 0 && least <= most, "range %s to %s", least, most);
+      checkArgument(min > 0 && min <= max, "invalid range: %s to %s", min, max);
     }
 
     int pick(Random random) {
-      return least + random.nextInt(most - least + 1);
+      return min + random.nextInt(max - min + 1);
     }
   }
 
   /**
-   * One request.
+   * The arrival of one request.
    *
-   * @param at when, from the start
-   * @param workspace which workspace asks
-   * @param prompt the prompt, unlike all others
-   * @param tokens length of the answer
-   * @param repeatable whether it may run more than once
+   * @param at arrival time, relative to the start
+   * @param workspace index of the workspace that sends the request
+   * @param prompt the prompt, which is unique
+   * @param tokens length of the answer, in tokens
+   * @param repeatable whether the request may run more than once
    */
   public record Arrival(
       Duration at, int workspace, String prompt, int tokens, boolean repeatable) {}
 
-  /** Checks the bounds. */
+  /** Validates the components. */
   public LoadProfile {
-    checkArgument(perSecond > 0, "perSecond must be positive: %s", perSecond);
+    checkArgument(ratePerSecond > 0, "ratePerSecond must be positive: %s", ratePerSecond);
     checkArgument(workspaces > 0, "workspaces must be positive: %s", workspaces);
   }
 
-  /** Returns the usual mix at a rate. */
-  public static LoadProfile usual(Shape shape, double perSecond, Duration length, long seed) {
+  /** Returns a profile with the default mix of requests. */
+  public static LoadProfile withDefaults(
+      Shape shape, double ratePerSecond, Duration length, long seed) {
     return new LoadProfile(
-        shape, perSecond, length, 10, new Range(30, 400), new Range(10, 100), 0.5, 0.1, seed);
+        shape, ratePerSecond, length, 10, new Range(30, 400), new Range(10, 100), 0.5, 0.1, seed);
   }
 
-  /** Returns the requests, in order of time. */
+  /** Returns the arrivals, ordered by time. */
   public ImmutableList<Arrival> arrivals() {
     Random random = new Random(seed);
     ImmutableList.Builder<Arrival> arrivals = ImmutableList.builder();
-    double highest = perSecond * (shape == Shape.BURST ? BURST_FACTOR : 2);
+    double peakRate = ratePerSecond * (shape == Shape.BURST ? BURST_FACTOR : 2);
     double at = 0;
     int number = 0;
     while (true) {
-      at += -Math.log(1 - random.nextDouble()) / highest;
-      double share = at / (length.toNanos() / 1e9);
-      if (share >= 1) {
+      at += -Math.log(1 - random.nextDouble()) / peakRate;
+      double progress = at / (length.toNanos() / 1e9);
+      if (progress >= 1) {
         return arrivals.build();
       }
-      // Thinning: candidates come at the highest rate and are kept in proportion to the rate now.
-      if (random.nextDouble() * highest < rateAt(share)) {
+      // Thinning: candidates arrive at the peak rate and are kept in proportion to the current
+      // rate.
+      if (random.nextDouble() * peakRate < rateAt(progress)) {
         arrivals.add(arrival(Duration.ofNanos((long) (at * 1e9)), number++, random));
       }
     }
   }
 
-  private double rateAt(double share) {
+  private double rateAt(double progress) {
     return switch (shape) {
-      case STEADY, FLOOD -> perSecond;
-      case RAMP -> 2 * perSecond * share;
-      case BURST -> share >= 0.4 && share < 0.6 ? BURST_FACTOR * perSecond : perSecond / 4;
+      case STEADY, FLOOD -> ratePerSecond;
+      case RAMP -> 2 * ratePerSecond * progress;
+      case BURST ->
+          progress >= 0.4 && progress < 0.6 ? BURST_FACTOR * ratePerSecond : ratePerSecond / 4;
     };
   }
 
@@ -127,6 +130,10 @@
     }
     prompt.append("request ").append(number);
     return new Arrival(
-        at, workspace, prompt.toString(), newTokens.pick(random), random.nextDouble() >= once);
+        at,
+        workspace,
+        prompt.toString(),
+        newTokens.pick(random),
+        random.nextDouble() >= nonRepeatableShare);
   }
 }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/LoadReport.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/LoadReport.java
@@ -13,41 +13,43 @@
 import org.vaneworks.state.Refusal;
 
 /**
- * What callers saw under a load.
+ * Measures the answers that callers receive under load.
  *
- * <p>Times count from when a request was due, not from when it was sent, so a stalled system can't
- * hide its stalls. A request counts towards goodput if its answer is whole, its first token came
- * within its bound and at least 95 in 100 of its tokens followed within theirs. Thread-safe.
+ * <p>Times are measured from the scheduled time of a request, not from the time it was sent;
+ * otherwise, a stall that delays the sending of requests would not show (coordinated omission).
+ *
+ * <p>A request counts towards goodput if its answer is complete, the first token arrived within its
+ * bound, and at least 95% of the tokens arrived within the bound between tokens. Thread-safe.
  */
 public final class LoadReport {
-  private static final long HIGHEST_MICROS = 600_000_000L;
-  private static final int DIGITS = 3;
-  private static final double SHARE_WITHIN = 0.95;
+  private static final long MAX_MICROS = 600_000_000L;
+  private static final int SIGNIFICANT_DIGITS = 3;
+  private static final double MIN_SHARE_IN_TIME = 0.95;
 
   private final long firstBound;
   private final long betweenBound;
   private final LongSupplier nanoClock;
 
   @GuardedBy("this")
-  private final Histogram first = new Histogram(HIGHEST_MICROS, DIGITS);
+  private final Histogram firstTokenTimes = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
 
   @GuardedBy("this")
-  private final Histogram between = new Histogram(HIGHEST_MICROS, DIGITS);
+  private final Histogram betweenTokenTimes = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
 
   @GuardedBy("this")
   private final Map<String, Integer> failures = new TreeMap<>();
 
   @GuardedBy("this")
-  private final Map<Integer, int[]> byWorkspace = new TreeMap<>();
+  private final Map<Integer, int[]> sentAndGoodByWorkspace = new TreeMap<>();
 
   @GuardedBy("this")
-  private int asked;
+  private int sentCount;
 
   @GuardedBy("this")
-  private int whole;
+  private int completeCount;
 
   @GuardedBy("this")
-  private int good;
+  private int goodCount;
 
   @GuardedBy("this")
   private long goodTokens;
@@ -64,16 +66,20 @@
     return new LoadReport(firstBound, betweenBound, nanoClock);
   }
 
-  /** Returns the sink that measures one answer that was due at a time. */
+  /**
+   * Returns a sink that measures one answer.
+   *
+   * @param dueNanos scheduled time of the request
+   */
   public AnswerSink measure(int workspace, long dueNanos) {
     synchronized (this) {
-      asked++;
-      byWorkspace.computeIfAbsent(workspace, w -> new int[2])[0]++;
+      sentCount++;
+      sentAndGoodByWorkspace.computeIfAbsent(workspace, key -> new int[2])[0]++;
     }
-    return new Measured(workspace, dueNanos);
+    return new MeasuringSink(workspace, dueNanos);
   }
 
-  private final class Measured implements AnswerSink {
+  private final class MeasuringSink implements AnswerSink {
     private final int workspace;
     private final long due;
     private long last = -1;
@@ -81,7 +87,7 @@
     private int late;
     private boolean firstInTime;
 
-    Measured(int workspace, long due) {
+    MeasuringSink(int workspace, long due) {
       this.workspace = workspace;
       this.due = due;
     }
@@ -92,10 +98,10 @@
       synchronized (LoadReport.this) {
         if (tokens == 0) {
           firstInTime = now - due <= firstBound;
-          first.recordValue(micros(now - due));
+          firstTokenTimes.recordValue(micros(now - due));
         } else {
           late += now - last > betweenBound ? 1 : 0;
-          between.recordValue(micros(now - last));
+          betweenTokenTimes.recordValue(micros(now - last));
         }
       }
       tokens++;
@@ -104,13 +110,13 @@
 
     @Override
     public void complete() {
-      boolean paceHeld = late <= (1 - SHARE_WITHIN) * tokens;
+      boolean paceMet = late <= (1 - MIN_SHARE_IN_TIME) * tokens;
       synchronized (LoadReport.this) {
-        whole++;
-        if (firstInTime && paceHeld) {
-          good++;
+        completeCount++;
+        if (firstInTime && paceMet) {
+          goodCount++;
           goodTokens += tokens;
-          byWorkspace.get(workspace)[1]++;
+          sentAndGoodByWorkspace.get(workspace)[1]++;
         }
       }
     }
@@ -124,39 +130,41 @@
   }
 
   private static long micros(long nanos) {
-    return Math.min(HIGHEST_MICROS, Math.max(0, nanos / 1000));
+    return Math.min(MAX_MICROS, Math.max(0, nanos / 1000));
   }
 
-  /** Returns how many requests kept their bounds. */
-  public synchronized int good() {
-    return good;
+  /** Returns the number of requests that met their bounds. */
+  public synchronized int goodCount() {
+    return goodCount;
   }
 
-  /** Returns how many requests were sent. */
-  public synchronized int asked() {
-    return asked;
+  /** Returns the number of requests sent. */
+  public synchronized int sentCount() {
+    return sentCount;
   }
 
-  /** Returns the share of a workspace's requests that kept their bounds. */
+  /** Returns the share of a workspace's requests that met their bounds. */
   public synchronized double goodShare(int workspace) {
-    int[] counts = byWorkspace.getOrDefault(workspace, new int[2]);
+    int[] counts = sentAndGoodByWorkspace.getOrDefault(workspace, new int[2]);
     return counts[0] == 0 ? 0 : (double) counts[1] / counts[0];
   }
 
-  /** Returns the figures as a document. */
+  /** Returns the results as JSON. */
   public synchronized ObjectNode toJson() {
     ObjectNode node =
         Json.object()
-            .put("asked", asked)
-            .put("whole", whole)
-            .put("good", good)
+            .put("asked", sentCount)
+            .put("whole", completeCount)
+            .put("good", goodCount)
             .put("goodTokens", goodTokens);
-    addTimes(node, "first", first);
-    addTimes(node, "between", between);
+    addTimes(node, "first", firstTokenTimes);
+    addTimes(node, "between", betweenTokenTimes);
     ObjectNode refused = node.putObject("failures");
     failures.forEach(refused::put);
     ObjectNode shares = node.putObject("goodShareByWorkspace");
-    byWorkspace.keySet().forEach(w -> shares.put(Integer.toString(w), goodShare(w)));
+    sentAndGoodByWorkspace
+        .keySet()
+        .forEach(workspace -> shares.put(Integer.toString(workspace), goodShare(workspace)));
     return node;
   }
 
@@ -166,20 +174,20 @@
     node.put(name + "P99Ms", times.getValueAtPercentile(99) / 1000.0);
   }
 
-  /** Returns the figures as one line. */
+  /** Returns the results as one line of text. */
   public synchronized String toLine() {
     return String.format(
         Locale.ROOT,
         "asked %5d whole %5d good %5d first p50/p95/p99 %4d/%5d/%5d ms between %3d/%4d/%4d ms %s",
-        asked,
-        whole,
-        good,
-        first.getValueAtPercentile(50) / 1000,
-        first.getValueAtPercentile(95) / 1000,
-        first.getValueAtPercentile(99) / 1000,
-        between.getValueAtPercentile(50) / 1000,
-        between.getValueAtPercentile(95) / 1000,
-        between.getValueAtPercentile(99) / 1000,
+        sentCount,
+        completeCount,
+        goodCount,
+        firstTokenTimes.getValueAtPercentile(50) / 1000,
+        firstTokenTimes.getValueAtPercentile(95) / 1000,
+        firstTokenTimes.getValueAtPercentile(99) / 1000,
+        betweenTokenTimes.getValueAtPercentile(50) / 1000,
+        betweenTokenTimes.getValueAtPercentile(95) / 1000,
+        betweenTokenTimes.getValueAtPercentile(99) / 1000,
         failures);
   }
 }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/PausedExecutor.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/PausedExecutor.java
@@ -12,11 +12,11 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * An executor whose clock stands still until a test advances it.
+ * An executor whose clock is paused and advances only on request.
  *
- * <p>Tasks run on the thread that advances the clock, in order of time, then of submission, so a
- * run is the same every time. A test can also let the thread stand still, after which tasks run
- * late. Not for use by several threads.
+ * <p>Tasks run on the thread that advances the clock, ordered by due time and then by submission,
+ * so execution is deterministic. A test can also simulate a stalled thread, which runs due tasks
+ * late. Not thread-safe.
  */
 public final class PausedExecutor implements Executor {
   private static final long MAX_TASKS_PER_INSTANT = 1_000_000;
@@ -46,11 +46,11 @@
       return order;
     }
 
-    Task readAt(long later) {
+    Task postponedTo(long later) {
       return new Task(later, arrival, order, () -> work.run());
     }
 
-    /** Cancelled tasks stay queued until their time: removing them would take linear time. */
+    /** Cancelled tasks stay in the queue until they are due, because removal takes linear time. */
     void cancel() {
       work = () -> {};
     }
@@ -66,7 +66,7 @@
 
   private PausedExecutor() {}
 
-  /** Returns an executor whose clock stands at 0. */
+  /** Returns an executor whose clock starts at 0. */
   public static PausedExecutor create() {
     return new PausedExecutor();
   }
@@ -87,9 +87,10 @@
   }
 
   /**
-   * Runs what arrives on a socket after the delay.
+   * Schedules a task that simulates data arriving on a socket after a delay.
    *
-   * <p>What arrives while the thread stands still is read only after the tasks that came due.
+   * <p>If the thread is stalled when the data arrives, the task runs after all timers that became
+   * due during the stall.
    */
   public Cancellable deliver(Runnable arrival, Duration delay) {
     return add(arrival, true, delay.toNanos());
@@ -102,20 +103,21 @@
     return task::cancel;
   }
 
-  /** Runs everything that is due now. */
+  /** Runs all tasks that are due at the current time. */
   public void runDue() {
     advance(Duration.ZERO);
   }
 
-  /** Moves the clock on, running each task at its time. */
+  /** Advances the clock and runs each task at its due time. */
   public void advance(Duration by) {
     checkArgument(!by.isNegative(), "by must not be negative: %s", by);
     long until = now + by.toNanos();
-    long atThisInstant = 0;
+    long tasksAtThisInstant = 0;
     while (!tasks.isEmpty() && tasks.peek().at() <= until) {
       Task task = tasks.poll();
-      atThisInstant = task.at() == now ? atThisInstant + 1 : 0;
-      checkArgument(atThisInstant < MAX_TASKS_PER_INSTANT, "tasks keep starting tasks at %s", now);
+      tasksAtThisInstant = task.at() == now ? tasksAtThisInstant + 1 : 0;
+      checkArgument(
+          tasksAtThisInstant < MAX_TASKS_PER_INSTANT, "endless loop of tasks at %s ns", now);
       now = Math.max(now, task.at());
       task.work.run();
     }
@@ -123,23 +125,29 @@
   }
 
   /**
-   * Moves the clock on while the thread does something else.
+   * Advances the clock while the thread is stalled.
    *
-   * <p>Then it runs the tasks that came due, late and in their order, and after them it reads what
-   * has arrived: an event loop that was held up while it read its sockets goes on so.
+   * <p>Afterwards, all timers that became due run late in their order, followed by the data that
+   * arrived in the meantime. An event loop that was blocked while reading its sockets resumes in
+   * this order.
    */
-  public void standStill(Duration by) {
+  public void stall(Duration by) {
     checkArgument(!by.isNegative(), "by must not be negative: %s", by);
     now += by.toNanos();
-    List<Task> unread = tasks.stream().filter(task -> task.arrival() && task.at() < now).toList();
-    tasks.removeAll(unread);
-    unread.forEach(task -> tasks.add(task.readAt(now)));
+    List<Task> delayedArrivals =
+        tasks.stream().filter(task -> task.arrival() && task.at() < now).toList();
+    tasks.removeAll(delayedArrivals);
+    delayedArrivals.forEach(task -> tasks.add(task.postponedTo(now)));
     runDue();
   }
 
-  /** Moves the clock on in small steps until the condition holds; returns whether it does. */
-  public boolean advanceUntil(BooleanSupplier condition, Duration atMost) {
-    long until = now + atMost.toNanos();
+  /**
+   * Advances the clock from task to task until a condition holds or a timeout elapses.
+   *
+   * @return whether the condition holds
+   */
+  public boolean advanceUntil(BooleanSupplier condition, Duration timeout) {
+    long until = now + timeout.toNanos();
     while (!condition.getAsBoolean() && now < until) {
       long next = tasks.isEmpty() ? until : Math.min(until, Math.max(now, tasks.peek().at()));
       advance(Duration.ofNanos(next - now));
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/PlatformServer.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/PlatformServer.java
@@ -16,7 +16,7 @@
 import org.vaneworks.testlib.StandInServer.Call;
 import org.vaneworks.testlib.StandInServer.Reply;
 
-/** The platform's store and box list as a server. */
+/** Serves the platform's store and box list over HTTP. */
 public final class PlatformServer {
   private static final int NO_CONTENT = 204;
   private static final int NOT_FOUND = 404;
@@ -30,7 +30,7 @@
     this.boxes = boxes;
   }
 
-  /** Listens. */
+  /** Starts a server. */
   public static HttpServerContext listen(
       HostPort address, Executor executor, StoreCore store, BoxListCore boxes) throws Exception {
     PlatformServer server = new PlatformServer(store, boxes);
@@ -53,10 +53,10 @@
     };
   }
 
-  private static Reply entryReply(Optional<StoreEntry> entry, int statusOfNone) {
+  private static Reply entryReply(Optional<StoreEntry> entry, int statusIfAbsent) {
     return entry
         .map(found -> new Reply(200, PlatformJson.writeEntry(found)))
-        .orElseGet(() -> new Reply(statusOfNone, ""));
+        .orElseGet(() -> new Reply(statusIfAbsent, ""));
   }
 
   private CompletableFuture<Reply> watch(Call call) {
@@ -92,8 +92,8 @@
 
   private CompletableFuture<Reply> fault(Call call) {
     FieldReader fields = FieldReader.of("", Json.parse(call.body()));
-    store.down(fields.bool("down", false));
-    store.slow(Duration.ofMillis(fields.integer("slowMs", 0, 60_000, 0)));
+    store.setDown(fields.bool("down", false));
+    store.delayAnswers(Duration.ofMillis(fields.integer("slowMs", 0, 60_000, 0)));
     store.loseAnswers(fields.integer("loseAnswers", 0, 1000, 0));
     return Reply.ok("");
   }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/PolicyBench.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/PolicyBench.java
@@ -23,10 +23,10 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures policies against each other on the same seeded load, under a paused clock.
+ * Compares routing policies under the same seeded load, with a paused clock.
  *
- * <p>The nodes are the product's own; engines are stand-ins on four kinds of accelerators, on links
- * that differ a hundredfold.
+ * <p>The nodes are the product's own. The engines are simulated, with four kinds of accelerators
+ * and four link delays from 0.2 to 20 ms.
  */
 @Command(name = "bench", description = "Measures policies under the same load, in paused time.")
 public final class PolicyBench implements Callable<Integer> {
@@ -34,13 +34,13 @@
   private static final int WORKSPACES = 10;
   private static final Duration FIRST_TOKEN = Duration.ofMillis(520);
   private static final Duration BETWEEN_TOKENS = Duration.ofMillis(74);
-  private static final Duration SETTLE = Duration.ofSeconds(20);
-  private static final Duration DRAIN = Duration.ofSeconds(60);
+  private static final Duration SETTLE_TIME = Duration.ofSeconds(20);
+  private static final Duration DRAIN_TIME = Duration.ofSeconds(60);
 
-  /** Step times of a stage of eight layers on the four kinds of accelerators, milliseconds. */
+  /** Step times of a stage of eight layers by kind of accelerator. */
   private static final double[] STEP_MILLIS = {4, 7, 12, 20};
 
-  /** Delays of one way to an engine, milliseconds. */
+  /** One-way delays of the links to engines. */
   private static final double[] LINK_MILLIS = {0.2, 1, 4, 20};
 
   @Option(names = "--policies", split = ",", description = "Which: ${COMPLETION-CANDIDATES}.")
@@ -104,43 +104,45 @@
   }
 
   private void measure(PolicyKind policy, double rate) {
-    boolean ours = policy == PolicyKind.PREDICTED_TIME;
+    boolean predictsTime = policy == PolicyKind.PREDICTED_TIME;
     RoutingSettings routing =
-        new RoutingSettings(policy, ours ? admission : baselineAdmission, cost, fixedCap, 0.1);
-    InMemoryFleet fleet = build(routing);
+        new RoutingSettings(
+            policy, predictsTime ? admission : baselineAdmission, cost, fixedCap, 0.1);
+    InMemoryFleet fleet = createFleet(routing);
     PausedExecutor clock = fleet.clock();
     LoadReport report =
         LoadReport.create(
             FIRST_TOKEN, BETWEEN_TOKENS, () -> clock.currentTime(TimeUnit.NANOSECONDS));
-    LoadReport ignored =
+    LoadReport warmUpReport =
         LoadReport.create(
             FIRST_TOKEN, BETWEEN_TOKENS, () -> clock.currentTime(TimeUnit.NANOSECONDS));
-    plan(fleet, LoadProfile.Shape.STEADY, rate, warmUp, seed + 1, ignored);
+    scheduleArrivals(fleet, LoadProfile.Shape.STEADY, rate, warmUp, seed + 1, warmUpReport);
     clock.advance(Duration.ofSeconds(warmUp));
-    plan(fleet, shape, rate, seconds, seed, report);
-    planKills(fleet);
-    clock.advance(Duration.ofSeconds(seconds).plus(DRAIN));
+    scheduleArrivals(fleet, shape, rate, seconds, seed, report);
+    scheduleKills(fleet);
+    clock.advance(Duration.ofSeconds(seconds).plus(DRAIN_TIME));
     print(policy, rate, report, fleet);
   }
 
-  private void plan(
+  private void scheduleArrivals(
       InMemoryFleet fleet,
       LoadProfile.Shape kind,
       double rate,
       int length,
-      long chance,
+      long profileSeed,
       LoadReport report) {
-    Random balancer = new Random(chance);
-    LoadProfile profile = LoadProfile.usual(kind, rate, Duration.ofSeconds(length), chance);
+    Random balancer = new Random(profileSeed);
+    LoadProfile profile =
+        LoadProfile.withDefaults(kind, rate, Duration.ofSeconds(length), profileSeed);
     for (LoadProfile.Arrival arrival : profile.arrivals()) {
       String node = "n" + balancer.nextInt(nodes);
       fleet
           .clock()
-          .schedule(() -> ask(fleet.node(node), arrival, report, fleet.clock()), arrival.at());
+          .schedule(() -> send(fleet.node(node), arrival, report, fleet.clock()), arrival.at());
     }
   }
 
-  private InMemoryFleet build(RoutingSettings routing) {
+  private InMemoryFleet createFleet(RoutingSettings routing) {
     InMemoryFleet fleet = InMemoryFleet.create(LAYERS, seed);
     for (int i = 0; i < engines; i++) {
       int stage = i % 3;
@@ -158,7 +160,7 @@
       fleet.addNode("n" + i, NodeLimits.defaults().withRouting(routing));
     }
     var unused = fleet.apply(configuration());
-    fleet.clock().advance(SETTLE);
+    fleet.clock().advance(SETTLE_TIME);
     return fleet;
   }
 
@@ -173,7 +175,7 @@
     return yaml.toString();
   }
 
-  private static void ask(
+  private static void send(
       Node node, LoadProfile.Arrival arrival, LoadReport report, PausedExecutor clock) {
     CallerOptions options =
         new CallerOptions(
@@ -192,7 +194,7 @@
                 report.measure(arrival.workspace(), due));
   }
 
-  private void planKills(InMemoryFleet fleet) {
+  private void scheduleKills(InMemoryFleet fleet) {
     Random random = new Random(seed);
     for (int at = killEvery; killEvery > 0 && at < seconds; at += killEvery) {
       String box = "e" + random.nextInt(engines);
@@ -224,7 +226,7 @@
             "%-15s rate %6.1f good/s %6.1f retries %3.0f | %s",
             policy.name().toLowerCase(Locale.ROOT),
             rate,
-            (double) report.good() / seconds,
+            (double) report.goodCount() / seconds,
             retries,
             report.toLine()));
   }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/RecordedAnswer.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/RecordedAnswer.java
@@ -7,13 +7,13 @@
 import org.vaneworks.coordination.pipeline.AnswerSink;
 import org.vaneworks.state.Refusal;
 
-/** Keeps what a caller was given. Thread-safe. */
+/** Records the answer that a caller receives. Thread-safe. */
 public final class RecordedAnswer implements AnswerSink {
   private final String prompt;
   private final List<String> tokens = new ArrayList<>();
   private Optional<Refusal> refusal = Optional.empty();
-  private boolean whole;
-  private int ends;
+  private boolean complete;
+  private int terminationCount;
 
   private RecordedAnswer(String prompt) {
     this.prompt = prompt;
@@ -31,14 +31,14 @@
 
   @Override
   public synchronized void complete() {
-    whole = true;
-    ends++;
+    complete = true;
+    terminationCount++;
   }
 
   @Override
-  public synchronized void failed(Refusal why) {
-    refusal = Optional.of(why);
-    ends++;
+  public synchronized void failed(Refusal cause) {
+    refusal = Optional.of(cause);
+    terminationCount++;
   }
 
   /** Returns the prompt. */
@@ -46,27 +46,27 @@
     return prompt;
   }
 
-  /** Returns the tokens so far. */
+  /** Returns the tokens received so far. */
   public synchronized ImmutableList<String> tokens() {
     return ImmutableList.copyOf(tokens);
   }
 
-  /** Returns whether the answer ended whole. */
-  public synchronized boolean isWhole() {
-    return whole;
+  /** Returns whether the answer ended successfully. */
+  public synchronized boolean isComplete() {
+    return complete;
   }
 
-  /** Returns whether the answer ended, either way. */
+  /** Returns whether the answer ended, successfully or not. */
   public synchronized boolean isEnded() {
-    return ends > 0;
+    return terminationCount > 0;
   }
 
-  /** Returns how often an end was told; more than once is a fault. */
-  public synchronized int ends() {
-    return ends;
+  /** Returns how often the end of the answer was signalled; more than once is an error. */
+  public synchronized int terminationCount() {
+    return terminationCount;
   }
 
-  /** Returns why the answer is not whole. */
+  /** Returns the refusal if the answer failed. */
   public synchronized Optional<Refusal> refusal() {
     return refusal;
   }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/RecoveryBench.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/RecoveryBench.java
@@ -21,30 +21,31 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures how long a stream stands still when a stage of it is killed, freezes or is cut off.
+ * Measures how long a stream is interrupted if one of its stages is killed, freezes or gets a slow
+ * link.
  *
- * <p>Each trial is a fleet of its own with background streams, one fault, and the longest gap
- * between two tokens of the streams that the fault hit. The naive baseline looks at no progress
- * before the step timeout and runs the whole request again on a new route.
+ * <p>Each trial uses a new fleet with several streams, injects one fault, and records the longest
+ * gap between two tokens of each affected stream. The naive baseline does not detect missing
+ * progress before the step timeout and then reruns the complete request on a new route.
  */
 @Command(name = "recovery", description = "Measures recovery from lost stages, in paused time.")
 public final class RecoveryBench implements Callable<Integer> {
   private static final int LAYERS = 24;
-  private static final int COPIES = 3;
+  private static final int REPLICAS = 3;
   private static final int STREAMS = 12;
   private static final int TOKENS = 150;
-  private static final Duration BEFORE = Duration.ofMillis(1500);
-  private static final Duration AFTER = Duration.ofSeconds(60);
-  private static final long HIGHEST_MICROS = 600_000_000L;
+  private static final Duration TIME_BEFORE_FAULT = Duration.ofMillis(1500);
+  private static final Duration TIME_AFTER_FAULT = Duration.ofSeconds(60);
+  private static final long MAX_MICROS = 600_000_000L;
 
-  /** The ways to lose a stage. */
+  /** The injected faults. */
   private enum Fault {
     KILL,
     FREEZE,
     SLOW_LINK
   }
 
-  /** What is measured. */
+  /** The compared recovery policies. */
   private enum Policy {
     OURS,
     NAIVE
@@ -74,10 +75,10 @@
   }
 
   private void measure(Fault fault, Policy policy) {
-    Histogram gaps = new Histogram(HIGHEST_MICROS, 3);
-    int[] counts = new int[2];
+    Histogram gaps = new Histogram(MAX_MICROS, 3);
+    int[] hitAndFailed = new int[2];
     for (int trial = 0; trial < trials; trial++) {
-      runTrial(fault, policy, seed + trial, gaps, counts);
+      runTrial(fault, policy, seed + trial, gaps, hitAndFailed);
     }
     System.out.println(
         String.format(
@@ -85,8 +86,8 @@
             "%-9s %-5s streams hit %4d failed %3d longest gap p50 %5d p95 %5d max %5d ms",
             fault.name().toLowerCase(Locale.ROOT),
             policy.name().toLowerCase(Locale.ROOT),
-            counts[0],
-            counts[1],
+            hitAndFailed[0],
+            hitAndFailed[1],
             gaps.getValueAtPercentile(50) / 1000,
             gaps.getValueAtPercentile(95) / 1000,
             gaps.getMaxValue() / 1000));
@@ -97,25 +98,25 @@
       return NodeLimits.defaults();
     }
     Duration timeout = EndpointLimits.defaults().stepTimeout();
-    NodeLimits usual =
+    NodeLimits defaults =
         NodeLimits.defaults()
             .withStreams(new PipelineLimits(16, Duration.ofSeconds(10), Duration.ofDays(1), 0));
     return new NodeLimits(
-        usual.routing(),
+        defaults.routing(),
         new EndpointLimits(timeout, timeout, 64, 256),
-        usual.streams(),
-        usual.once(),
-        usual.store(),
-        usual.stop());
+        defaults.streams(),
+        defaults.once(),
+        defaults.store(),
+        defaults.stop());
   }
 
   private static void runTrial(
-      Fault fault, Policy policy, long chance, Histogram gaps, int[] counts) {
-    Random random = new Random(chance);
-    InMemoryFleet fleet = InMemoryFleet.create(LAYERS, chance);
-    for (int copy = 0; copy < COPIES; copy++) {
+      Fault fault, Policy policy, long trialSeed, Histogram gaps, int[] hitAndFailed) {
+    Random random = new Random(trialSeed);
+    InMemoryFleet fleet = InMemoryFleet.create(LAYERS, trialSeed);
+    for (int replica = 0; replica < REPLICAS; replica++) {
       for (int stage = 0; stage < 3; stage++) {
-        fleet.addEngine("e" + stage + copy, stage * 8, stage * 8 + 8, 5 + 3.0 * copy);
+        fleet.addEngine("e" + stage + replica, stage * 8, stage * 8 + 8, 5 + 3.0 * replica);
       }
     }
     fleet.addNode("n1", limits(policy));
@@ -126,24 +127,24 @@
       sinks[i] = new GapSink(fleet.clock());
       start(fleet, "prompt " + i + " " + "word ".repeat(100), sinks[i]);
     }
-    fleet.clock().advance(BEFORE.plusMillis(random.nextInt(500)));
-    String box = "e" + random.nextInt(3) + random.nextInt(COPIES);
+    fleet.clock().advance(TIME_BEFORE_FAULT.plusMillis(random.nextInt(500)));
+    String box = "e" + random.nextInt(3) + random.nextInt(REPLICAS);
     for (GapSink sink : sinks) {
-      sink.faultNow();
+      sink.markFault();
     }
-    int[] before = ranOn(fleet, box, sinks.length);
-    bringAbout(fleet, fault, fleet.addressOf(box));
-    fleet.clock().advance(AFTER);
+    int[] entriesBefore = ledgerEntriesOn(fleet, box, sinks.length);
+    injectFault(fleet, fault, fleet.addressOf(box));
+    fleet.clock().advance(TIME_AFTER_FAULT);
     for (int i = 0; i < sinks.length; i++) {
-      if (before[i] > 0 && sinks[i].wasRunning()) {
-        counts[0]++;
-        counts[1] += sinks[i].isWhole() ? 0 : 1;
+      if (entriesBefore[i] > 0 && sinks[i].wasRunningAtFault()) {
+        hitAndFailed[0]++;
+        hitAndFailed[1] += sinks[i].isComplete() ? 0 : 1;
         gaps.recordValue(sinks[i].longestGapMicros());
       }
     }
   }
 
-  /** Lets the node learn step times, as a node that has run for a while has. */
+  /** Sends streams from which the node learns step times, as in normal operation. */
   private static void warmUp(InMemoryFleet fleet) {
     for (int i = 0; i < 2 * STREAMS; i++) {
       start(fleet, "warm up " + i, new GapSink(fleet.clock()));
@@ -163,54 +164,54 @@
                 sink);
   }
 
-  /** Tells which of the streams ran on the box: by the ledgers, prompts name the streams. */
-  private static int[] ranOn(InMemoryFleet fleet, String box, int streams) {
-    Judge judge = fleet.judge();
-    int[] ran = new int[streams];
+  /** Returns the number of ledger entries of each stream on a box; prompts identify the streams. */
+  private static int[] ledgerEntriesOn(InMemoryFleet fleet, String box, int streams) {
+    AnswerVerifier verifier = fleet.verifier();
+    int[] entries = new int[streams];
     for (int i = 0; i < streams; i++) {
-      List<LedgerEntry> runs = judge.runsOf("prompt " + i + " " + "word ".repeat(100));
+      List<LedgerEntry> runs = verifier.runsOf("prompt " + i + " " + "word ".repeat(100));
       for (EngineCore engine : fleet.endpoints().engines()) {
         if (engine.options().endpoint().id().box().equals(box)) {
-          ran[i] = (int) engine.ledger().stream().filter(runs::contains).count();
+          entries[i] = (int) engine.ledger().stream().filter(runs::contains).count();
         }
       }
     }
-    return ran;
+    return entries;
   }
 
-  private static void bringAbout(InMemoryFleet fleet, Fault fault, HostPort address) {
+  private static void injectFault(InMemoryFleet fleet, Fault fault, HostPort address) {
     switch (fault) {
       case KILL -> fleet.endpoints().kill(address);
       case FREEZE -> fleet.endpoints().freeze(address);
-      case SLOW_LINK -> fleet.endpoints().delay(address, Duration.ofSeconds(2));
+      case SLOW_LINK -> fleet.endpoints().setDelay(address, Duration.ofSeconds(2));
     }
   }
 
-  /** Measures the longest gap between two tokens after a fault. */
+  /** Measures the longest gap between two tokens after the fault. */
   private static final class GapSink implements AnswerSink {
     private final PausedExecutor clock;
     private long last = -1;
     private long longest;
-    private boolean watched;
+    private boolean measuring;
     private boolean runningAtFault;
     private boolean ended;
-    private boolean whole;
+    private boolean complete;
 
     GapSink(PausedExecutor clock) {
       this.clock = clock;
     }
 
-    void faultNow() {
-      watched = true;
+    void markFault() {
+      measuring = true;
       runningAtFault = last >= 0 && !ended;
     }
 
-    boolean wasRunning() {
+    boolean wasRunningAtFault() {
       return runningAtFault;
     }
 
-    boolean isWhole() {
-      return whole;
+    boolean isComplete() {
+      return complete;
     }
 
     long longestGapMicros() {
@@ -220,14 +221,14 @@
     @Override
     public void token(String text) {
       long now = clock.currentTime(TimeUnit.NANOSECONDS);
-      longest = watched && last >= 0 ? Math.max(longest, now - last) : longest;
+      longest = measuring && last >= 0 ? Math.max(longest, now - last) : longest;
       last = now;
     }
 
     @Override
     public void complete() {
       ended = true;
-      whole = true;
+      complete = true;
     }
 
     @Override
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/RoutingBenchmark.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/RoutingBenchmark.java
@@ -31,7 +31,7 @@
 import org.vaneworks.state.LayerRange;
 import org.vaneworks.telemetry.Counters;
 
-/** Measures what one routing decision costs by the number of engines of the model. */
+/** Measures the time of one routing decision by the number of engines of the model. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -41,7 +41,7 @@
 public class RoutingBenchmark {
   private static final int NODES = 8;
 
-  /** Engines of the model, in three stages. */
+  /** Number of engines of the model, in three stages. */
   @Param({"30", "100", "600", "2400"})
   private int engines;
 
@@ -53,9 +53,9 @@
     new Runner(new OptionsBuilder().include(RoutingBenchmark.class.getName()).build()).run();
   }
 
-  /** Fills the table. */
+  /** Creates the endpoint table and the planner. */
   @Setup
-  public void fill() {
+  public void setUp() {
     PausedExecutor clock = PausedExecutor.create();
     EndpointTable table =
         EndpointTable.create(
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/ServiceCore.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/ServiceCore.java
@@ -6,13 +6,13 @@
 import org.vaneworks.coordination.endpoints.ServiceCall;
 import org.vaneworks.coordination.endpoints.ServiceReply;
 
-/** A plain service without a socket that counts how often each call ran. Thread-safe. */
+/** An in-memory plain service that counts how often each call was run. Thread-safe. */
 public final class ServiceCore {
   private final Map<String, Integer> runs = new TreeMap<>();
 
   private ServiceCore() {}
 
-  /** Returns a service that ran nothing yet. */
+  /** Returns a service that has not run any call. */
   public static ServiceCore create() {
     return new ServiceCore();
   }
@@ -23,7 +23,7 @@
     return new ServiceReply(200, "application/json", "{\"runs\":" + times + "}");
   }
 
-  /** Returns how often each call ran. */
+  /** Returns how often each call was run. */
   public synchronized ImmutableMap<String, Integer> runs() {
     return ImmutableMap.copyOf(runs);
   }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/ServiceServer.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/ServiceServer.java
@@ -14,7 +14,7 @@
 import org.vaneworks.testlib.StandInServer.Call;
 import org.vaneworks.testlib.StandInServer.Reply;
 
-/** A plain service stand-in as a server. */
+/** Serves a simulated plain service over HTTP. */
 public final class ServiceServer {
   private final ServiceCore core;
   private final Endpoint endpoint;
@@ -25,15 +25,17 @@
   }
 
   /**
-   * Listens.
+   * Starts a server.
    *
-   * @param maker describes the service for the address that it got
+   * @param factory creates the endpoint for the address that the server is bound to
    */
   public static HttpServerContext listen(
-      HostPort address, Executor executor, ServiceCore core, Function<HostPort, Endpoint> maker)
+      HostPort address, Executor executor, ServiceCore core, Function<HostPort, Endpoint> factory)
       throws Exception {
-    return StandInServer.listenAs(
-        address, executor, own -> new ServiceServer(core, maker.apply(own))::handle);
+    return StandInServer.listenWithBoundAddress(
+        address,
+        executor,
+        boundAddress -> new ServiceServer(core, factory.apply(boundAddress))::handle);
   }
 
   private CompletableFuture<Reply> handle(Call call) {
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/StandInMain.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/StandInMain.java
@@ -23,13 +23,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Starts stand-ins as processes of their own. */
+/** Starts stand-ins for external systems as separate processes. */
 @Command(
     name = "standin",
     description = "Starts a stand-in for an outside system.",
     subcommands = {StandInMain.Platform.class, StandInMain.Engine.class, StandInMain.Service.class})
 public final class StandInMain {
-  private static final int POOL = 4;
+  private static final int THREADS = 4;
 
   private StandInMain() {}
 
@@ -53,7 +53,7 @@
 
     @Override
     public final Integer call() throws Exception {
-      HttpServerContext server = open(Executors.newFixedSizeExecutor(POOL));
+      HttpServerContext server = open(Executors.newFixedSizeExecutor(THREADS));
       System.out.println("listening " + StandInServer.addressOf(server));
       server.awaitShutdown();
       return 0;
@@ -70,8 +70,8 @@
   }
 
   private abstract static class EndpointServer extends Server {
-    /** A minute in all: the platform's process may still be starting on a busy machine. */
-    private static final int ENLIST_TRIES = 12;
+    /** One minute in total, because the platform's process may start slowly on a busy machine. */
+    private static final int REGISTRATION_ATTEMPTS = 12;
 
     @Option(names = "--box", required = true, description = "The box's name.")
     String box;
@@ -88,36 +88,43 @@
     final String incarnation = UUID.randomUUID().toString().substring(0, 8);
 
     /**
-     * Puts the endpoint's box into the platform's list, as its operator would: again if there was
-     * no answer, which changes nothing if it was done.
+     * Adds the endpoint's box to the platform's list. Retries after a timeout, which is safe
+     * because the request is idempotent.
      */
-    final HttpServerContext enlist(HttpServerContext server) throws Exception {
-      HttpRequest request = entryRequest(server);
+    final HttpServerContext register(HttpServerContext server) throws Exception {
+      HttpRequest request = registrationRequest(server);
       HttpClient client = HttpClient.newHttpClient();
-      for (int left = ENLIST_TRIES; ; left--) {
+      for (int attemptsLeft = REGISTRATION_ATTEMPTS; ; attemptsLeft--) {
         try {
           client.send(request, HttpResponse.BodyHandlers.discarding());
           return server;
         } catch (HttpTimeoutException e) {
-          if (left == 1) {
+          if (attemptsLeft == 1) {
             throw e;
           }
         }
       }
     }
 
-    private HttpRequest entryRequest(HttpServerContext server) {
-      HostPort own = StandInServer.addressOf(server);
-      Box entry = new Box(box, Box.Role.ENDPOINT, own, dataCentre, false);
+    private HttpRequest registrationRequest(HttpServerContext server) {
+      HostPort boundAddress = StandInServer.addressOf(server);
+      Box listedBox = new Box(box, Box.Role.ENDPOINT, boundAddress, dataCentre, false);
       return HttpRequest.newBuilder(URI.create("http://" + platform + PlatformJson.BOXES_PATH))
           .timeout(Duration.ofSeconds(5))
-          .POST(HttpRequest.BodyPublishers.ofString(Json.write(PlatformJson.writeBox(entry))))
+          .POST(HttpRequest.BodyPublishers.ofString(Json.write(PlatformJson.writeBox(listedBox))))
           .build();
     }
 
-    final Endpoint endpoint(HostPort own, Optional<LayerRange> layers, String accelerator) {
+    final Endpoint endpoint(
+        HostPort boundAddress, Optional<LayerRange> layers, String accelerator) {
       return new Endpoint(
-          new EndpointId(box, incarnation), own, dataCentre, serves, layers, accelerator, true);
+          new EndpointId(box, incarnation),
+          boundAddress,
+          dataCentre,
+          serves,
+          layers,
+          accelerator,
+          true);
     }
   }
 
@@ -139,12 +146,15 @@
     HttpServerContext open(Executor executor) throws Exception {
       String[] parts = layers.split("-", -1);
       LayerRange range = LayerRange.of(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]));
-      return enlist(EngineServer.listen(address(), executor, own -> engine(own, range, executor)));
+      return register(
+          EngineServer.listen(
+              address(), executor, boundAddress -> engine(boundAddress, range, executor)));
     }
 
-    private EngineCore engine(HostPort own, LayerRange range, Executor executor) {
+    private EngineCore engine(HostPort boundAddress, LayerRange range, Executor executor) {
       EngineOptions options =
-          EngineOptions.of(endpoint(own, Optional.of(range), accelerator), modelLayers, stepMillis);
+          EngineOptions.of(
+              endpoint(boundAddress, Optional.of(range), accelerator), modelLayers, stepMillis);
       return EngineCore.create(options, executor);
     }
   }
@@ -153,12 +163,12 @@
   static final class Service extends EndpointServer {
     @Override
     HttpServerContext open(Executor executor) throws Exception {
-      return enlist(
+      return register(
           ServiceServer.listen(
               address(),
               executor,
               ServiceCore.create(),
-              own -> endpoint(own, Optional.empty(), "")));
+              boundAddress -> endpoint(boundAddress, Optional.empty(), "")));
     }
   }
 }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/StandInServer.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/StandInServer.java
@@ -21,14 +21,14 @@
 import org.vaneworks.protocol.EngineJson;
 import org.vaneworks.state.HostPort;
 
-/** Serves a stand-in over HTTP. */
+/** Serves a stand-in for an external system over HTTP. */
 final class StandInServer {
   private static final int CONFLICT = 409;
   private static final int UNAVAILABLE = 503;
 
   private StandInServer() {}
 
-  /** What a stand-in answers: status and body. */
+  /** The status and body of a response. */
   record Reply(int status, String body) {
     static CompletableFuture<Reply> ok(String body) {
       return CompletableFuture.completedFuture(new Reply(200, body));
@@ -39,9 +39,9 @@
     }
   }
 
-  /** A request as stand-ins see it. */
+  /** A received request. */
   record Call(String method, String path, String query, String body) {
-    /** Returns a query parameter, empty if it is absent. */
+    /** Returns a query parameter, or an empty string if it is absent. */
     String parameter(String name) {
       for (String pair : query.split("&", -1)) {
         if (pair.startsWith(name + "=")) {
@@ -62,23 +62,26 @@
   }
 
   /**
-   * Listens for a stand-in that must know its own address, port 0 or not, before it is made.
+   * Starts a server whose handler depends on the address that the server is bound to, which is
+   * unknown beforehand if the port is 0. Requests wait until the handler exists.
    *
-   * @param maker makes the stand-in's handler for the address that it got
+   * @param factory creates the handler for the bound address
    */
-  static HttpServerContext listenAs(
+  static HttpServerContext listenWithBoundAddress(
       HostPort address,
       Executor executor,
-      Function<HostPort, Function<Call, CompletableFuture<Reply>>> maker)
+      Function<HostPort, Function<Call, CompletableFuture<Reply>>> factory)
       throws Exception {
-    CompletableFuture<Function<Call, CompletableFuture<Reply>>> made = new CompletableFuture<>();
+    CompletableFuture<Function<Call, CompletableFuture<Reply>>> handlerFuture =
+        new CompletableFuture<>();
     HttpServerContext server =
-        listen(address, executor, call -> made.thenCompose(handler -> handler.apply(call)));
-    made.complete(maker.apply(addressOf(server)));
+        listen(
+            address, executor, call -> handlerFuture.thenCompose(handler -> handler.apply(call)));
+    handlerFuture.complete(factory.apply(addressOf(server)));
     return server;
   }
 
-  /** Returns where a server listens. */
+  /** Returns the address that a server is bound to. */
   static HostPort addressOf(HttpServerContext server) {
     InetSocketAddress address = (InetSocketAddress) server.listenAddress();
     return new HostPort(address.getAddress().getHostAddress(), address.getPort());
@@ -101,8 +104,8 @@
       reply = CompletableFuture.failedFuture(e);
     }
     return Single.fromStage(reply)
-        .map(done -> response(responses, done))
-        .onErrorReturn(failure -> refused(responses, Async.causeOf(failure)));
+        .map(completed -> response(responses, completed))
+        .onErrorReturn(failure -> errorResponse(responses, Async.causeOf(failure)));
   }
 
   private static HttpResponse response(HttpResponseFactory responses, Reply reply) {
@@ -112,7 +115,7 @@
     return response;
   }
 
-  private static HttpResponse refused(HttpResponseFactory responses, Throwable failure) {
+  private static HttpResponse errorResponse(HttpResponseFactory responses, Throwable failure) {
     if (!(failure instanceof EngineRefusal refusal)) {
       return response(responses, new Reply(500, String.valueOf(failure)));
     }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/StoreCore.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/StoreCore.java
@@ -17,12 +17,12 @@
 import org.vaneworks.coordination.store.StorePurpose;
 
 /**
- * The platform's key-value store without a socket, with faults.
+ * An in-memory implementation of the platform's key-value store, with fault injection.
  *
- * <p>Thread-safe; futures are completed with no lock held.
+ * <p>Thread-safe; futures are completed without holding a lock.
  */
 public final class StoreCore implements PlatformStore {
-  /** Longest value, as the platform has it. */
+  /** Maximum length of a value, the same as the platform's limit. */
   private static final int MAX_VALUE = 1 << 20;
 
   private record Watch(String key, long after, CompletableFuture<Optional<StoreEntry>> answer) {}
@@ -41,7 +41,7 @@
   private volatile boolean down;
   private volatile Duration delay = Duration.ZERO;
   private volatile int answersToLose;
-  private volatile String keyOfLostAnswers = "";
+  private volatile String keySuffixOfLostAnswers = "";
 
   private StoreCore(Executor executor) {
     this.executor = executor;
@@ -52,40 +52,40 @@
     return new StoreCore(executor);
   }
 
-  /** Makes the store fail every call, or work again. */
-  public void down(boolean isDown) {
+  /** Sets whether the store is down and fails every call. */
+  public void setDown(boolean isDown) {
     down = isDown;
     if (isDown) {
-      dropWatches();
+      failWatches();
     }
   }
 
-  private void dropWatches() {
-    List<Watch> dropped;
+  private void failWatches() {
+    List<Watch> failed;
     synchronized (this) {
-      dropped = List.copyOf(watches);
+      failed = List.copyOf(watches);
       watches.clear();
     }
-    dropped.forEach(watch -> watch.answer().completeExceptionally(unavailable()));
+    failed.forEach(watch -> watch.answer().completeExceptionally(unavailable()));
   }
 
-  /** Makes every answer late. */
-  public void slow(Duration by) {
-    delay = by;
+  /** Delays every answer. */
+  public void delayAnswers(Duration answerDelay) {
+    delay = answerDelay;
   }
 
-  /** Makes the next writes take effect without an answer. */
+  /** Loses the answers to the next writes, which still take effect. */
   public void loseAnswers(int count) {
     loseAnswers(count, "");
   }
 
-  /** Makes the next writes of keys that end so take effect without an answer. */
-  public void loseAnswers(int count, String keyEnd) {
+  /** Loses the answers to the next writes of keys with a suffix; the writes still take effect. */
+  public void loseAnswers(int count, String keySuffix) {
     answersToLose = count;
-    keyOfLostAnswers = keyEnd;
+    keySuffixOfLostAnswers = keySuffix;
   }
 
-  /** Returns how often each kind of call came. */
+  /** Returns the number of calls by kind. */
   public synchronized ImmutableMap<String, Long> calls() {
     return ImmutableMap.copyOf(calls);
   }
@@ -95,7 +95,7 @@
     if (!count("read")) {
       return CompletableFuture.failedFuture(unavailable());
     }
-    return late(find(key));
+    return delayed(find(key));
   }
 
   private synchronized Optional<StoreEntry> find(String key) {
@@ -113,15 +113,15 @@
           StoreException.withoutEffect("value of " + key + " is over " + MAX_VALUE));
     }
     Optional<Long> written = write(key, expectedRevision, value);
-    if (answersToLose > 0 && key.endsWith(keyOfLostAnswers)) {
+    if (answersToLose > 0 && key.endsWith(keySuffixOfLostAnswers)) {
       answersToLose--;
       return CompletableFuture.failedFuture(StoreException.unknownEffect("no answer"));
     }
-    return late(written);
+    return delayed(written);
   }
 
   private Optional<Long> write(String key, long expectedRevision, String value) {
-    List<Watch> fired = new ArrayList<>();
+    List<Watch> triggered = new ArrayList<>();
     StoreEntry next;
     synchronized (this) {
       long revision = find(key).map(StoreEntry::revision).orElse(0L);
@@ -133,11 +133,11 @@
       for (Watch watch : List.copyOf(watches)) {
         if (watch.key().equals(key) && next.revision() > watch.after()) {
           watches.remove(watch);
-          fired.add(watch);
+          triggered.add(watch);
         }
       }
     }
-    fired.forEach(watch -> watch.answer().complete(Optional.of(next)));
+    triggered.forEach(watch -> watch.answer().complete(Optional.of(next)));
     return Optional.of(next.revision());
   }
 
@@ -151,7 +151,7 @@
     synchronized (this) {
       Optional<StoreEntry> present = find(key);
       if (present.isPresent() && present.get().revision() > afterRevision) {
-        return late(present);
+        return delayed(present);
       }
       watches.add(watch);
     }
@@ -171,7 +171,7 @@
     return !down;
   }
 
-  private <T> CompletableFuture<T> late(T value) {
+  private <T> CompletableFuture<T> delayed(T value) {
     if (delay.isZero()) {
       return CompletableFuture.completedFuture(value);
     }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/FleetOutcome.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/FleetOutcome.java
@@ -1,17 +1,17 @@
 package org.vaneworks.testlib.fleet;
 
 /**
- * What a run of the model showed.
+ * The results of one simulation run.
  *
- * @param streams streams that callers began
- * @param late those that did not begin in time, were stopped for want of memory or were not served
- * @param arrivals requests that reached engines
- * @param rejected those that an engine rejected for want of memory
- * @param preempted streams that an engine stopped for want of memory
- * @param spread standard deviation of the engines' fill around that of their kind in their data
- *     centre, mean over time
- * @param worstSecondLate part of the streams that were late among those begun in the worst second
- * @param reportBytesPerNodeSecond bytes of load reports that a node sends a second
+ * @param streams number of streams that callers started
+ * @param late number of streams that started too late, were preempted or were not served
+ * @param arrivals number of requests that reached engines
+ * @param rejected number of requests that an engine rejected because its memory was full
+ * @param preempted number of streams that an engine stopped because its memory ran out
+ * @param spread standard deviation of the memory utilization of engines, relative to the mean of
+ *     their kind in their data centre, averaged over time
+ * @param worstSecondLate highest share of late streams among those started within one second
+ * @param reportBytesPerNodeSecond bytes of load reports that each node sends per second
  */
 public record FleetOutcome(
     int streams,
@@ -22,12 +22,12 @@
     double spread,
     double worstSecondLate,
     double reportBytesPerNodeSecond) {
-  /** Returns the part of the streams that were late. */
+  /** Returns the share of streams that were late. */
   public double lateShare() {
     return (double) late / Math.max(1, streams);
   }
 
-  /** Returns the part of the arrivals that engines rejected. */
+  /** Returns the share of arrivals that engines rejected. */
   public double rejectedShare() {
     return (double) rejected / Math.max(1, arrivals);
   }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/FleetShape.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/FleetShape.java
@@ -6,25 +6,26 @@
 import com.google.common.collect.ImmutableMap;
 
 /**
- * A fleet: its data centres with nodes, engines and traffic.
+ * The size of a simulated fleet: nodes, engines and traffic by data centre.
  *
  * @param dataCentres the data centres
  */
 public record FleetShape(ImmutableList<DataCentre> dataCentres) {
   /**
-   * One data centre.
+   * The size of one data centre.
    *
-   * @param name its name
+   * @param name name of the data centre
    * @param nodes number of nodes
    * @param engines number of engines by accelerator
-   * @param streamsPerSecond streams that its callers begin a second
+   * @param streamsPerSecond streams that its callers start per second
    */
   public record DataCentre(
       String name, int nodes, ImmutableMap<String, Integer> engines, double streamsPerSecond) {
-    /** Checks the numbers. */
+    /** Validates the components. */
     public DataCentre {
       checkArgument(nodes > 0, "nodes must be positive: %s", nodes);
-      checkArgument(streamsPerSecond >= 0, "streamsPerSecond: %s", streamsPerSecond);
+      checkArgument(
+          streamsPerSecond >= 0, "streamsPerSecond must not be negative: %s", streamsPerSecond);
     }
   }
 
@@ -33,32 +34,32 @@
     return dataCentres.stream().mapToInt(DataCentre::nodes).sum();
   }
 
-  /** Returns the same fleet with about that many nodes, in the same proportions. */
+  /** Returns this fleet with approximately the given number of nodes, in the same proportions. */
   public FleetShape withNodes(int nodes) {
     double factor = (double) nodes / nodes();
     return new FleetShape(
         dataCentres.stream()
             .map(
-                each ->
+                centre ->
                     new DataCentre(
-                        each.name(),
-                        Math.max(1, (int) Math.round(each.nodes() * factor)),
-                        each.engines(),
-                        each.streamsPerSecond()))
+                        centre.name(),
+                        Math.max(1, (int) Math.round(centre.nodes() * factor)),
+                        centre.engines(),
+                        centre.streamsPerSecond()))
             .collect(ImmutableList.toImmutableList()));
   }
 
-  /** Returns the same fleet with that many times the traffic. */
+  /** Returns this fleet with its traffic multiplied by a factor. */
   public FleetShape withTraffic(double factor) {
     return new FleetShape(
         dataCentres.stream()
             .map(
-                each ->
+                centre ->
                     new DataCentre(
-                        each.name(),
-                        each.nodes(),
-                        each.engines(),
-                        each.streamsPerSecond() * factor))
+                        centre.name(),
+                        centre.nodes(),
+                        centre.engines(),
+                        centre.streamsPerSecond() * factor))
             .collect(ImmutableList.toImmutableList()));
   }
 }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelEngine.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelEngine.java
@@ -8,20 +8,21 @@
 import org.vaneworks.state.entry.ModelProfile;
 
 /**
- * What an engine really holds: the memory of its streams, which grows as they write.
+ * The actual memory of an engine, which grows while its streams generate tokens.
  *
- * <p>The memory of a stream is linear in time, so that of all is kept as one straight line.
+ * <p>The memory of each stream is a linear function of time, so the sum over all streams is kept as
+ * one linear function: its value at time 0 and its slope.
  */
 final class ModelEngine {
   private final AcceleratorProfile accelerator;
-  private final double room;
+  private final double capacity;
   private final Deque<ModelStream> running = new ArrayDeque<>();
-  private double atZero;
-  private double perNano;
+  private double tokenLayersAtZero;
+  private double tokenLayersPerNano;
 
   ModelEngine(ModelProfile model, AcceleratorProfile accelerator, LayerRange held) {
     this.accelerator = accelerator;
-    this.room = model.roomTokenLayers(accelerator, held.size());
+    this.capacity = model.roomTokenLayers(accelerator, held.size());
   }
 
   AcceleratorProfile accelerator() {
@@ -32,35 +33,36 @@
     return running.size();
   }
 
-  /** Returns the part of the memory for requests that is in use. */
-  double fill(long now) {
-    return (atZero + perNano * now) / room;
+  /** Returns the share of the request memory that is in use. */
+  double utilization(long now) {
+    return (tokenLayersAtZero + tokenLayersPerNano * now) / capacity;
   }
 
   double usedTokenLayers(long now) {
-    return atZero + perNano * now;
+    return tokenLayersAtZero + tokenLayersPerNano * now;
   }
 
-  /** Returns whether a prompt fits in now. */
-  boolean hasRoom(long now, int promptTokens, int layers) {
-    return atZero + perNano * now + (double) promptTokens * layers <= room;
+  /** Returns whether a prompt currently fits into the remaining memory. */
+  boolean hasCapacity(long now, int promptTokens, int layers) {
+    return tokenLayersAtZero + tokenLayersPerNano * now + (double) promptTokens * layers
+        <= capacity;
   }
 
-  void begin(ModelStream stream, int layers) {
+  void start(ModelStream stream, int layers) {
     running.addLast(stream);
-    atZero += stream.tokensAtZero() * layers;
-    perNano += stream.tokensPerNano() * layers;
+    tokenLayersAtZero += stream.tokensAtZero() * layers;
+    tokenLayersPerNano += stream.tokensPerNano() * layers;
   }
 
   void end(ModelStream stream, int layers) {
     if (running.remove(stream)) {
-      atZero -= stream.tokensAtZero() * layers;
-      perNano -= stream.tokensPerNano() * layers;
+      tokenLayersAtZero -= stream.tokensAtZero() * layers;
+      tokenLayersPerNano -= stream.tokensPerNano() * layers;
     }
   }
 
-  /** Returns the newest stream if memory has run out. */
-  Optional<ModelStream> toPreempt(long now) {
-    return fill(now) > 1 ? Optional.ofNullable(running.peekLast()) : Optional.empty();
+  /** Returns the newest stream if the memory is overcommitted. */
+  Optional<ModelStream> preemptionCandidate(long now) {
+    return utilization(now) > 1 ? Optional.ofNullable(running.peekLast()) : Optional.empty();
   }
 }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelNode.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelNode.java
@@ -23,10 +23,10 @@
 import org.vaneworks.state.entry.ModelProfile;
 import org.vaneworks.telemetry.Counters;
 
-/** A node of the model: the product's list of endpoints, path search and load exchange. */
+/** A simulated node: the product's endpoint list, path planner and load exchange. */
 final class ModelNode {
-  /** An engine that said that it is full gets nothing new for that long. */
-  private static final Duration FULL_PAUSE = Duration.ofMillis(200);
+  /** How long an engine gets no new streams after it rejected one because its memory was full. */
+  private static final Duration REJECTION_BACKOFF = Duration.ofMillis(200);
 
   static final String SERVICE = "m";
 
@@ -66,7 +66,7 @@
     exchange.start();
   }
 
-  void heard(LoadReport report) {
+  void receive(LoadReport report) {
     exchange.heard(report);
   }
 
@@ -76,9 +76,9 @@
         fleet.usable(SERVICE));
   }
 
-  void noteFull(TrackedEndpoint engine) {
+  void recordRejection(TrackedEndpoint engine) {
     long now = clock.currentTime(NANOSECONDS);
-    engine.avoidUntil(now + FULL_PAUSE.toNanos());
+    engine.avoidUntil(now + REJECTION_BACKOFF.toNanos());
     engine.noteShortage(now);
   }
 }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelStream.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelStream.java
@@ -4,23 +4,23 @@
 import org.vaneworks.coordination.relay.RequestSize;
 
 /**
- * A stream that runs over a path.
+ * A stream that runs on the engines of a path.
  *
- * @param size what it reads and writes
- * @param path where it runs
- * @param beganAt when
- * @param nanos how long it writes
+ * @param size number of prompt and answer tokens
+ * @param path the engines that run the stream
+ * @param startedAt start time, in nanoseconds
+ * @param durationNanos duration, in nanoseconds
  */
-record ModelStream(RequestSize size, EnginePath path, long beganAt, long nanos) {
+record ModelStream(RequestSize size, EnginePath path, long startedAt, long durationNanos) {
   double tokensPerNano() {
-    return (double) size.answerTokens() / nanos;
+    return (double) size.answerTokens() / durationNanos;
   }
 
   double tokensAtZero() {
-    return size.promptTokens() - tokensPerNano() * beganAt;
+    return size.promptTokens() - tokensPerNano() * startedAt;
   }
 
-  // Streams are told apart by identity: two of the same size may run at once.
+  // Streams are compared by identity: two streams of equal size may run at the same time.
   @Override
   public boolean equals(Object other) {
     return this == other;
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/SharedEnginesModel.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/SharedEnginesModel.java
@@ -29,52 +29,58 @@
 import org.vaneworks.testlib.PausedExecutor;
 
 /**
- * Callers, nodes and engines of a fleet in paused time; the same seed gives the same run.
+ * Simulates the callers, nodes and engines of a fleet on a paused clock. Runs with the same seed
+ * are identical.
  *
- * <p>A stream is planned by the node that its caller reached, with what that node knows, and then
- * meets the engines as they are: one that is short of memory rejects it, and one whose memory runs
- * out stops its newest stream. Left out are the time that nodes take, prompts read in pieces and
- * the pipes between data centres; so the model tells how well load is spread, not how long an
- * answer takes.
+ * <p>The node that a caller connects to plans the path of a stream from its own, possibly outdated,
+ * view of the fleet. The engines then act on their actual state: an engine without enough memory
+ * rejects the stream, and an engine whose memory runs out preempts its newest stream.
+ *
+ * <p>The simulation does not model processing time on nodes, chunked prefill or the bandwidth
+ * between data centres. It shows how evenly load is distributed, but not how long answers take.
  */
 public final class SharedEnginesModel {
-  /** Streams that begin before this are not counted: nodes know nothing of each other yet. */
+  /**
+   * Streams that start within the warm-up are not counted, because nodes have no load reports from
+   * each other yet.
+   */
   private static final Duration WARM_UP = Duration.ofSeconds(4);
 
-  /** Latest begin of a stream that is in time: its objective less reading its prompt. */
-  private static final Duration IN_TIME = Duration.ofMillis(450);
+  /** A stream is late if it waits longer: the first-token objective minus the prefill time. */
+  private static final Duration MAX_START_DELAY = Duration.ofMillis(450);
 
-  /** After that a stream without a place is refused. */
-  private static final Duration GIVE_UP = Duration.ofMillis(1800);
+  /** How long a stream waits for a path before it is refused. */
+  private static final Duration PLANNING_TIMEOUT = Duration.ofMillis(1800);
 
-  /** Between two tries to find a place. */
-  private static final Duration RETRY = Duration.ofMillis(20);
+  /** Delay between two attempts to plan a path. */
+  private static final Duration RETRY_INTERVAL = Duration.ofMillis(20);
 
-  private static final Duration LOOK = Duration.ofMillis(50);
-  private static final Duration ON_THE_WAY = Duration.ofMillis(1);
+  private static final Duration SAMPLING_INTERVAL = Duration.ofMillis(50);
+  private static final Duration REPORT_LATENCY = Duration.ofMillis(1);
 
-  /** Part of the reports that are lost. */
-  private static final double LOSS = 0.005;
+  /** Share of load reports that are lost. */
+  private static final double REPORT_LOSS = 0.005;
 
   private static final double HOP_MILLIS = 0.3;
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** Prompt and answer tokens: a mean answer as the profile says, with a long tail. */
-  private static final double ANSWER_SPREAD = 0.75;
+  /** Spread of the log-normal answer lengths, which have a long tail around the usual length. */
+  private static final double ANSWER_LENGTH_SIGMA = 0.75;
 
-  private static final double LONGEST_ANSWER = 3;
+  /** Longest answer, as a multiple of the model's usual answer. */
+  private static final double MAX_ANSWER_FACTOR = 3;
 
   private final PausedExecutor clock = PausedExecutor.create();
   private final FleetShape shape;
   private final ModelProfile model;
   private final Random random;
   private final Map<HostPort, ModelEngine> engines = new HashMap<>();
-  private final Map<String, List<ModelEngine>> alike = new LinkedHashMap<>();
+  private final Map<String, List<ModelEngine>> enginesByKind = new LinkedHashMap<>();
   private final Map<HostPort, ModelNode> nodes = new LinkedHashMap<>();
   private final List<Peer> peers = new ArrayList<>();
-  private final Map<String, List<ModelNode>> byCentre = new LinkedHashMap<>();
-  private final Map<Long, int[]> bySecond = new HashMap<>();
-  private final long countFrom = WARM_UP.toNanos();
+  private final Map<String, List<ModelNode>> nodesByDataCentre = new LinkedHashMap<>();
+  private final Map<Long, int[]> startedAndLateBySecond = new HashMap<>();
+  private final long measurementStart = WARM_UP.toNanos();
   private int streams;
   private int late;
   private int arrivals;
@@ -82,17 +88,17 @@
   private int preempted;
   private long reportBytes;
   private double spreadSum;
-  private int spreadLooks;
+  private int spreadSamples;
 
   private SharedEnginesModel(FleetShape shape, ModelProfile model, long seed) {
     this.shape = shape;
     this.model = model;
     this.random = new Random(seed);
-    ImmutableList<FleetEndpoint> listed = placed();
+    ImmutableList<FleetEndpoint> listed = placeEngines();
     addNodes(listed);
   }
 
-  /** Runs a fleet for some time after a warm-up and returns what was seen. */
+  /** Simulates a fleet for a duration after the warm-up and returns the results. */
   public static FleetOutcome run(
       FleetShape shape, ModelProfile model, long seed, Duration duration) {
     SharedEnginesModel fleet = new SharedEnginesModel(shape, model, seed);
@@ -101,7 +107,7 @@
     return fleet.outcome(WARM_UP.plus(duration));
   }
 
-  private ImmutableList<FleetEndpoint> placed() {
+  private ImmutableList<FleetEndpoint> placeEngines() {
     List<Holding> holdings = new ArrayList<>();
     for (FleetShape.DataCentre centre : shape.dataCentres()) {
       centre
@@ -125,7 +131,7 @@
           held -> {
             ModelEngine engine = new ModelEngine(model, holding.accelerator(), held);
             engines.put(address, engine);
-            alike
+            enginesByKind
                 .computeIfAbsent(holding.dataCentre() + kind, key -> new ArrayList<>())
                 .add(engine);
             listed.add(
@@ -162,7 +168,7 @@
                 this::send,
                 new Random(random.nextLong()));
         nodes.put(address, node);
-        byCentre.computeIfAbsent(centre.name(), key -> new ArrayList<>()).add(node);
+        nodesByDataCentre.computeIfAbsent(centre.name(), key -> new ArrayList<>()).add(node);
       }
     }
   }
@@ -176,29 +182,29 @@
   private int send(HostPort peer, LoadReport report) {
     int bytes = LoadCodec.encode(report).length;
     reportBytes += bytes;
-    if (random.nextDouble() >= LOSS) {
-      clock.schedule(() -> nodes.get(peer).heard(report), ON_THE_WAY.toNanos(), NANOSECONDS);
+    if (random.nextDouble() >= REPORT_LOSS) {
+      clock.schedule(() -> nodes.get(peer).receive(report), REPORT_LATENCY.toNanos(), NANOSECONDS);
     }
     return bytes;
   }
 
   private void start() {
     for (ModelNode node : nodes.values()) {
-      // Processes don't start in step.
+      // Nodes start at different times so that their timers are not synchronized.
       long after = (long) (random.nextDouble() * 300 * NANOS_PER_MILLI);
       clock.schedule(node::start, after, NANOSECONDS);
     }
     for (FleetShape.DataCentre centre : shape.dataCentres()) {
-      nextCaller(centre);
+      scheduleArrival(centre);
     }
-    look();
+    sample();
   }
 
-  private void nextCaller(FleetShape.DataCentre centre) {
+  private void scheduleArrival(FleetShape.DataCentre centre) {
     double seconds = -Math.log(1 - random.nextDouble()) / centre.streamsPerSecond();
     clock.schedule(
         () -> {
-          nextCaller(centre);
+          scheduleArrival(centre);
           arrive(centre);
         },
         (long) (seconds * 1e9),
@@ -206,63 +212,64 @@
   }
 
   private void arrive(FleetShape.DataCentre centre) {
-    List<ModelNode> entries = byCentre.get(centre.name());
-    ModelNode node = entries.get(random.nextInt(entries.size()));
-    double drawn = Math.exp(ANSWER_SPREAD * random.nextGaussian() - ANSWER_SPREAD / 2);
-    int answer = (int) Math.max(6, model.usualAnswer() * Math.min(LONGEST_ANSWER, drawn));
-    if (counted()) {
+    List<ModelNode> localNodes = nodesByDataCentre.get(centre.name());
+    ModelNode node = localNodes.get(random.nextInt(localNodes.size()));
+    double lengthFactor =
+        Math.exp(ANSWER_LENGTH_SIGMA * random.nextGaussian() - ANSWER_LENGTH_SIGMA / 2);
+    int answer = (int) Math.max(6, model.usualAnswer() * Math.min(MAX_ANSWER_FACTOR, lengthFactor));
+    if (isMeasuring()) {
       streams++;
-      second()[0]++;
+      currentSecond()[0]++;
     }
-    seekPlace(node, new RequestSize(model.usualPrompt(), answer), now());
+    tryStart(node, new RequestSize(model.usualPrompt(), answer), now());
   }
 
-  private void seekPlace(ModelNode node, RequestSize size, long since) {
-    // A node knows an estimate of the answer's length; the usual one here.
+  private void tryStart(ModelNode node, RequestSize size, long arrivedAt) {
+    // A node does not know the answer's length in advance and plans with the model's usual one.
     RequestSize expected = new RequestSize(size.promptTokens(), model.usualAnswer());
     Optional<EnginePath> path = node.plan(expected);
-    if (path.isPresent() && begin(node, path.get(), expected, size)) {
-      if (now() - since > IN_TIME.toNanos()) {
-        isLate(since);
+    if (path.isPresent() && start(node, path.get(), expected, size)) {
+      if (now() - arrivedAt > MAX_START_DELAY.toNanos()) {
+        recordLate(arrivedAt);
       }
       return;
     }
-    if (now() - since > GIVE_UP.toNanos()) {
-      isLate(since);
+    if (now() - arrivedAt > PLANNING_TIMEOUT.toNanos()) {
+      recordLate(arrivedAt);
       return;
     }
-    clock.schedule(() -> seekPlace(node, size, since), RETRY.toNanos(), NANOSECONDS);
+    clock.schedule(() -> tryStart(node, size, arrivedAt), RETRY_INTERVAL.toNanos(), NANOSECONDS);
   }
 
-  private boolean begin(ModelNode node, EnginePath path, RequestSize expected, RequestSize size) {
-    if (counted()) {
+  private boolean start(ModelNode node, EnginePath path, RequestSize expected, RequestSize size) {
+    if (isMeasuring()) {
       arrivals++;
     }
     for (PathPart part : path.parts()) {
       ModelEngine engine = engines.get(part.engine().address());
-      if (!engine.hasRoom(now(), size.promptTokens(), part.layers().size())) {
-        if (counted()) {
+      if (!engine.hasCapacity(now(), size.promptTokens(), part.layers().size())) {
+        if (isMeasuring()) {
           rejected++;
         }
-        node.noteFull(part.engine());
+        node.recordRejection(part.engine());
         return false;
       }
     }
     ModelStream stream = new ModelStream(size, path, now(), duration(path, size));
     path.reserve(expected.tokens());
     for (PathPart part : path.parts()) {
-      engines.get(part.engine().address()).begin(stream, part.layers().size());
+      engines.get(part.engine().address()).start(stream, part.layers().size());
     }
-    clock.schedule(() -> end(stream, expected), stream.nanos(), NANOSECONDS);
+    clock.schedule(() -> end(stream, expected), stream.durationNanos(), NANOSECONDS);
     return true;
   }
 
   private void end(ModelStream stream, RequestSize expected) {
     stream.path().release(expected.tokens());
-    leaveEngines(stream);
+    removeFromEngines(stream);
   }
 
-  private void leaveEngines(ModelStream stream) {
+  private void removeFromEngines(ModelStream stream) {
     for (PathPart part : stream.path().parts()) {
       engines.get(part.engine().address()).end(stream, part.layers().size());
     }
@@ -292,72 +299,73 @@
     return (long) ((tokenMillis * size.answerTokens() + readMillis) * NANOS_PER_MILLI);
   }
 
-  private void look() {
-    clock.schedule(this::look, LOOK.toNanos(), NANOSECONDS);
+  private void sample() {
+    clock.schedule(this::sample, SAMPLING_INTERVAL.toNanos(), NANOSECONDS);
     for (ModelEngine engine : engines.values()) {
-      engine.toPreempt(now()).ifPresent(this::preempt);
+      engine.preemptionCandidate(now()).ifPresent(this::preempt);
     }
-    if (counted()) {
+    if (isMeasuring()) {
       spreadSum += spread();
-      spreadLooks++;
+      spreadSamples++;
     }
   }
 
   private void preempt(ModelStream stream) {
-    leaveEngines(stream);
-    if (counted()) {
+    removeFromEngines(stream);
+    if (isMeasuring()) {
       preempted++;
     }
-    isLate(stream.beganAt());
+    recordLate(stream.startedAt());
   }
 
   private double spread() {
     double squares = 0;
     int count = 0;
-    for (List<ModelEngine> group : alike.values()) {
-      double mean = group.stream().mapToDouble(e -> e.fill(now())).average().orElse(0);
+    for (List<ModelEngine> group : enginesByKind.values()) {
+      double mean =
+          group.stream().mapToDouble(engine -> engine.utilization(now())).average().orElse(0);
       for (ModelEngine engine : group) {
-        double off = engine.fill(now()) - mean;
-        squares += off * off;
+        double deviation = engine.utilization(now()) - mean;
+        squares += deviation * deviation;
         count++;
       }
     }
     return Math.sqrt(squares / count);
   }
 
-  private void isLate(long since) {
-    if (since >= countFrom) {
+  private void recordLate(long arrivedAt) {
+    if (arrivedAt >= measurementStart) {
       late++;
-      bySecond.computeIfAbsent(since / 1_000_000_000, key -> new int[2])[1]++;
+      startedAndLateBySecond.computeIfAbsent(arrivedAt / 1_000_000_000, key -> new int[2])[1]++;
     }
   }
 
-  private int[] second() {
-    return bySecond.computeIfAbsent(now() / 1_000_000_000, key -> new int[2]);
+  private int[] currentSecond() {
+    return startedAndLateBySecond.computeIfAbsent(now() / 1_000_000_000, key -> new int[2]);
   }
 
-  private boolean counted() {
-    return now() >= countFrom;
+  private boolean isMeasuring() {
+    return now() >= measurementStart;
   }
 
   private long now() {
     return clock.currentTime(NANOSECONDS);
   }
 
-  private FleetOutcome outcome(Duration played) {
+  private FleetOutcome outcome(Duration elapsed) {
     double worst =
-        bySecond.values().stream()
-            .mapToDouble(each -> (double) each[1] / Math.max(1, each[0]))
+        startedAndLateBySecond.values().stream()
+            .mapToDouble(counts -> (double) counts[1] / Math.max(1, counts[0]))
             .max()
             .orElse(0);
-    double seconds = NANOSECONDS.toMillis(played.toNanos()) / 1000.0;
+    double seconds = NANOSECONDS.toMillis(elapsed.toNanos()) / 1000.0;
     return new FleetOutcome(
         streams,
         late,
         arrivals,
         rejected,
         preempted,
-        spreadSum / Math.max(1, spreadLooks),
+        spreadSum / Math.max(1, spreadSamples),
         worst,
         reportBytes / seconds / nodes.size());
   }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/package-info.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/package-info.java
@@ -1,7 +1,8 @@
 /**
- * A model of many nodes that share many engines, in paused time and without a network.
+ * A simulation of many nodes that share many engines, with a paused clock and without a network.
  *
- * <p>Nodes decide with the product's own placement, path search and load exchange; engines keep
- * what a stream takes of them. {@link org.vaneworks.testlib.fleet.SharedEnginesModel} runs it.
+ * <p>Nodes use the product's own placement, path planner and load exchange; engines are models that
+ * track the memory of their streams. {@link org.vaneworks.testlib.fleet.SharedEnginesModel} is the
+ * entry point.
  */
 package org.vaneworks.testlib.fleet;
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/package-info.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Small stand-ins for the outside systems, a paused clock and a load generator.
+ * Test doubles of the external systems, an executor with a paused clock, and load generators.
  *
- * <p>Each stand-in has a core without sockets, for tests in one process, and can also be started as
- * a process of its own through {@link org.vaneworks.testlib.StandInMain}.
+ * <p>Each stand-in has a core without sockets, for tests within one process, and can also be
+ * started as a separate process by {@link org.vaneworks.testlib.StandInMain}.
  */
 package org.vaneworks.testlib;
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/ConfigurationSchedule.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/ConfigurationSchedule.java
@@ -96,23 +96,23 @@
 
   private void bringAbout(int kind, String name, String other, int count) {
     switch (kind) {
-      case 0 -> fleet.store().down(true);
+      case 0 -> fleet.store().setDown(true);
       case 1 -> fleet.store().loseAnswers(count);
-      case 2 -> fleet.store().slow(Duration.ofMillis(150L * count));
+      case 2 -> fleet.store().delayAnswers(Duration.ofMillis(150L * count));
       case 3 -> fleet.freezeNode(name);
       case 4 -> {
         fleet.killNode(name);
         start(name);
       }
-      default -> fleet.peers().cut(fleet.addressOf(name), fleet.addressOf(other));
+      default -> fleet.peers().blockLink(fleet.addressOf(name), fleet.addressOf(other));
     }
   }
 
   private void mendAll() {
-    fleet.store().down(false);
+    fleet.store().setDown(false);
     fleet.store().loseAnswers(0);
-    fleet.store().slow(Duration.ZERO);
-    fleet.peers().mend();
+    fleet.store().delayAnswers(Duration.ZERO);
+    fleet.peers().restoreLinks();
     for (int i = 1; i <= NODES; i++) {
       fleet.thawNode("n" + i);
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/OnceSchedule.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/OnceSchedule.java
@@ -170,18 +170,18 @@
         fleet.addNode(name);
       }
       case 4 -> {
-        fleet.peers().cut(address, fleet.addressOf(other));
-        later(length, () -> fleet.peers().mend());
+        fleet.peers().blockLink(address, fleet.addressOf(other));
+        later(length, () -> fleet.peers().restoreLinks());
       }
       case 5 -> fleet.peers().loseReplies(address, count);
       case 6 -> {
-        fleet.store().down(true);
-        later(length, () -> fleet.store().down(false));
+        fleet.store().setDown(true);
+        later(length, () -> fleet.store().setDown(false));
       }
       case 7 -> fleet.store().loseAnswers(count);
       case 8 -> {
-        fleet.store().slow(Duration.ofMillis(length / 10));
-        later(length, () -> fleet.store().slow(Duration.ZERO));
+        fleet.store().delayAnswers(Duration.ofMillis(length / 10));
+        later(length, () -> fleet.store().delayAnswers(Duration.ZERO));
       }
       default -> {
         fleet.endpoints().freeze(service);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/StandingStillTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/StandingStillTest.java
@@ -24,7 +24,7 @@
     clock.deliver(() -> see("arrival"), Duration.ofMillis(10));
     clock.schedule(() -> clock.execute(() -> see("task of timer")), Duration.ofMillis(50));
     clock.schedule(() -> clock.schedule(() -> see("later"), Duration.ofMillis(1)), Duration.ZERO);
-    clock.standStill(Duration.ofMillis(100));
+    clock.stall(Duration.ofMillis(100));
     clock.advance(Duration.ofMillis(1));
     assertEquals(List.of("task of timer at 100", "arrival at 100", "later at 101"), seen);
   }
@@ -41,7 +41,7 @@
   void arrivalThatWasCalledOffIsNotRead() {
     var arrival = clock.deliver(() -> see("arrival"), Duration.ofMillis(10));
     clock.schedule(arrival::cancel, Duration.ofMillis(20));
-    clock.standStill(Duration.ofMillis(30));
+    clock.stall(Duration.ofMillis(30));
     assertEquals(List.of(), seen);
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/StreamSchedule.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/StreamSchedule.java
@@ -9,9 +9,9 @@
 import java.util.Random;
 import org.vaneworks.coordination.requests.CallerOptions;
 import org.vaneworks.state.HostPort;
+import org.vaneworks.testlib.AnswerVerifier;
 import org.vaneworks.testlib.EngineCore;
 import org.vaneworks.testlib.InMemoryFleet;
-import org.vaneworks.testlib.Judge;
 import org.vaneworks.testlib.RecordedAnswer;
 
 /**
@@ -112,9 +112,9 @@
               case 1 -> freezeFor(address, pause);
               case 2 -> fleet.endpoints().loseAnswers(address, count);
               case 3 -> fleet.endpoints().exchangeAnswers(address, 2 * count);
-              case 4 -> fleet.endpoints().delay(address, Duration.ofMillis(30L * count));
-              case 5 -> fleet.endpoints().leave(address);
-              default -> fleet.boxes().leaving(box);
+              case 4 -> fleet.endpoints().setDelay(address, Duration.ofMillis(30L * count));
+              case 5 -> fleet.endpoints().markLeaving(address);
+              default -> fleet.boxes().markLeaving(box);
             }
           });
     }
@@ -134,10 +134,10 @@
   }
 
   private void judge(List<String> problems) {
-    Judge judge = fleet.judge();
+    AnswerVerifier judge = fleet.verifier();
     for (Asked each : asked) {
       problems.addAll(judge.problemsOf(each.answer(), each.tokens(), each.repeatable()));
-      if (each.repeatable() && !each.answer().isWhole()) {
+      if (each.repeatable() && !each.answer().isComplete()) {
         problems.add("repeatable, but failed: " + each.answer().refusal());
       }
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/LateNodeHealthTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/LateNodeHealthTest.java
@@ -97,8 +97,8 @@
   @Test
   void engineWhoseAnswersLieUnreadIsNotSuspected() {
     health.check(engine);
-    clock.standStill(STAND);
-    clock.standStill(STAND);
+    clock.stall(STAND);
+    clock.stall(STAND);
     clock.advance(Duration.ofMillis(100));
     assertEquals(0, suspicions);
     assertEquals(3, asked);
@@ -112,7 +112,7 @@
     health.check(engine);
     for (int i = 0; i < 4; i++) {
       assertFalse(engine.suspected());
-      clock.standStill(STAND);
+      clock.stall(STAND);
     }
     assertTrue(engine.suspected());
     assertEquals(4, asked);
@@ -123,7 +123,7 @@
   void deadEngineIsSuspectedAfterTwoQuestionsOfANodeThatIsPunctualAgain() {
     alive = false;
     health.check(engine);
-    clock.standStill(STAND);
+    clock.stall(STAND);
     clock.advance(Duration.ofMillis(200));
     assertTrue(engine.suspected());
     assertEquals(3, asked);
@@ -134,8 +134,8 @@
   void deadEngineIsSuspectedAfterTwoQuestionsOfANodeThatIsBarelyLate() {
     alive = false;
     health.check(engine);
-    clock.standStill(BARELY_LATE);
-    clock.standStill(BARELY_LATE);
+    clock.stall(BARELY_LATE);
+    clock.stall(BARELY_LATE);
     assertTrue(engine.suspected());
     assertEquals(2, asked);
     assertEquals(0, uncounted());
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/LateNodeProgressTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/LateNodeProgressTest.java
@@ -51,7 +51,7 @@
   @Test
   void streamWhoseEventsLieUnreadIsNotSeenAsStalled() {
     eventArrives(100);
-    node.clock.standStill(STAND);
+    node.clock.stall(STAND);
     node.advance(100);
     assertEquals(List.of(), node.control.reported);
     assertEquals(1, uncounted());
@@ -66,7 +66,7 @@
     running.event(EVENTS + 1);
     node.engine(2, 0, 80);
     eventArrives(100);
-    node.clock.standStill(STAND);
+    node.clock.stall(STAND);
     node.advance(100);
     assertFalse(running.cancelled);
     assertEquals(1, node.sent.size());
@@ -76,7 +76,7 @@
   @Test
   void silentStreamIsSeenSoonAfterItsNodeStoodStill() {
     node.control.dead.add(engine.address());
-    node.clock.standStill(STAND);
+    node.clock.stall(STAND);
     node.advance(10);
     assertEquals(Set.of(engine.address()), Set.copyOf(node.control.reported));
   }
@@ -87,7 +87,7 @@
     node.control.dead.add(engine.address());
     for (int i = 0; i < 3; i++) {
       assertTrue(node.control.reported.isEmpty());
-      node.clock.standStill(STAND);
+      node.clock.stall(STAND);
     }
     assertEquals(Set.of(engine.address()), Set.copyOf(node.control.reported));
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/DoubtedEngineStreamTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/DoubtedEngineStreamTest.java
@@ -94,8 +94,8 @@
 
   private void assertDeliveredWhole(RecordedAnswer answer) {
     assertTrue(fleet.clock().advanceUntil(answer::isEnded, PATIENCE), "waited in vain");
-    assertTrue(answer.isWhole(), () -> "refused: " + answer.refusal());
-    assertEquals(ImmutableList.of(), fleet.judge().problemsOf(answer, TOKENS, true));
+    assertTrue(answer.isComplete(), () -> "refused: " + answer.refusal());
+    assertEquals(ImmutableList.of(), fleet.verifier().problemsOf(answer, TOKENS, true));
   }
 
   private void assertRefusedAsNotRun(RecordedAnswer answer) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/RunningStreamTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/RunningStreamTest.java
@@ -143,7 +143,7 @@
   @Test
   void streamOfALeavingEngineMovesOnceAnotherHoldsItsLayers() {
     beginStream(NodeLimits.defaults());
-    fleet.boxes().leaving("a1");
+    fleet.boxes().markLeaving("a1");
     fleet.clock().advance(SILENCE);
     EngineCore other = addEngine("a2", 0, CUT);
     await(() -> !other.ledger().isEmpty() || answer.isEnded());
@@ -191,7 +191,7 @@
     for (int i = 0; i < LEARNING_STREAMS; i++) {
       learning.add(fleet.ask("n1", "learning " + i, LEARNING_TOKENS, CallerOptions.NONE));
     }
-    await(() -> learning.stream().allMatch(RecordedAnswer::isWhole));
+    await(() -> learning.stream().allMatch(RecordedAnswer::isComplete));
     answer = fleet.ask("n1", "prompt", TOKENS, CallerOptions.NONE);
     await(() -> answer.tokens().size() >= TOKENS_BEFORE_SILENCE);
   }
@@ -231,16 +231,16 @@
 
   private void assertDeliveredWhole() {
     await(answer::isEnded);
-    assertTrue(answer.isWhole(), () -> "ended early: " + answer.refusal());
+    assertTrue(answer.isComplete(), () -> "ended early: " + answer.refusal());
     fleet.clock().advance(AFTERWARDS);
-    assertEquals(ImmutableList.of(), fleet.judge().problemsOf(answer, TOKENS, true));
+    assertEquals(ImmutableList.of(), fleet.verifier().problemsOf(answer, TOKENS, true));
     for (EndpointState engine : fleet.node("n1").endpoints().all()) {
       assertEquals(0, engine.inFlight(), engine.endpoint().id()::toString);
     }
   }
 
   private void assertNothingRebuilt() {
-    ImmutableList<LedgerEntry> runs = fleet.judge().runsOf(answer.prompt());
+    ImmutableList<LedgerEntry> runs = fleet.verifier().runsOf(answer.prompt());
     assertTrue(runs.stream().noneMatch(LedgerEntry::rebuilt), "something was rebuilt");
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/NodeSteps.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/NodeSteps.java
@@ -81,7 +81,7 @@
   /** Cuts the way from one node to another. */
   @When("the way from {word} to {word} is cut")
   public void cut(String from, String to) {
-    world.fleet().peers().cut(world.fleet().addressOf(from), world.fleet().addressOf(to));
+    world.fleet().peers().blockLink(world.fleet().addressOf(from), world.fleet().addressOf(to));
   }
 
   /** Loses replies of a node. */
@@ -93,19 +93,19 @@
   /** Takes the store down. */
   @When("the store goes down")
   public void storeDown() {
-    world.fleet().store().down(true);
+    world.fleet().store().setDown(true);
   }
 
   /** Brings the store back. */
   @When("the store is back")
   public void storeUp() {
-    world.fleet().store().down(false);
+    world.fleet().store().setDown(false);
   }
 
   /** Makes the store slow. */
   @When("the store answers {int} ms late")
   public void storeSlow(int millis) {
-    world.fleet().store().slow(Duration.ofMillis(millis));
+    world.fleet().store().delayAnswers(Duration.ofMillis(millis));
   }
 
   /** Loses answers of the store. */
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/StreamSteps.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/StreamSteps.java
@@ -131,7 +131,7 @@
   /** Makes the platform list an engine as leaving. */
   @When("the box list says that {word} is leaving")
   public void leaving(String box) {
-    world.fleet().boxes().leaving(box);
+    world.fleet().boxes().markLeaving(box);
   }
 
   /** Takes a box off the platform's list. */
@@ -161,7 +161,7 @@
   public void answerIsWhole(String caller) {
     ends(caller);
     RecordedAnswer answer = world.answer(caller);
-    assertTrue(answer.isWhole(), () -> caller + ": " + answer.refusal());
+    assertTrue(answer.isComplete(), () -> caller + ": " + answer.refusal());
     keepsPromises(caller);
   }
 
@@ -186,7 +186,7 @@
     ImmutableList<String> problems =
         world
             .fleet()
-            .judge()
+            .verifier()
             .problemsOf(world.answer(caller), world.length(caller), world.isRepeatable(caller));
     assertEquals(ImmutableList.of(), problems);
   }
@@ -203,7 +203,7 @@
   @Then("no engine ran any part of {word}'s request")
   public void nothingRan(String caller) {
     String prompt = world.answer(caller).prompt();
-    assertEquals(ImmutableList.of(), world.fleet().judge().runsOf(prompt));
+    assertEquals(ImmutableList.of(), world.fleet().verifier().runsOf(prompt));
   }
 
   /** Checks that an engine did work in vain that did not count. */
@@ -216,7 +216,8 @@
   /** Freezes the engine on which a stream's first layers ran last. */
   @When("the engine that runs {word}'s first layers freezes")
   public void freezesUnder(String caller) {
-    ImmutableList<LedgerEntry> runs = world.fleet().judge().runsOf(world.answer(caller).prompt());
+    ImmutableList<LedgerEntry> runs =
+        world.fleet().verifier().runsOf(world.answer(caller).prompt());
     int newest = runs.stream().mapToInt(LedgerEntry::step).max().orElseThrow();
     for (EngineCore engine : world.fleet().endpoints().engines()) {
       boolean runsIt =
