--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/TraceCommand.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/TraceCommand.java
@@ -33,7 +33,7 @@
       "What stands before a line's JSON object, such as a collector's stamp, names its source."
     })
 final class TraceCommand implements Callable<Integer> {
-  /** How long before the request's first line other log lines of its boxes are included. */
+  /** How far before the request's first line the log lines of its boxes are included. */
   private static final Duration LOOKBACK = Duration.ofSeconds(3);
 
   /** Fields that are not printed as key-value pairs. */
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/EngineCore.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/EngineCore.java
@@ -46,7 +46,7 @@
     }
   }
 
-  private record Job(StepCall call, CompletableFuture<StepReply> reply) {}
+  private record PendingStep(StepCall call, CompletableFuture<StepReply> reply) {}
 
   private final EngineOptions options;
   private final Executor executor;
@@ -58,7 +58,7 @@
   private final Map<Lineage, Integer> fences = new HashMap<>();
 
   @GuardedBy("this")
-  private final Deque<Job> pending = new ArrayDeque<>();
+  private final Deque<PendingStep> pending = new ArrayDeque<>();
 
   @GuardedBy("this")
   private final List<LedgerEntry> ledger = new ArrayList<>();
@@ -141,7 +141,7 @@
       if (!refusal.isEmpty()) {
         return CompletableFuture.failedFuture(new EngineRefusal(refusal));
       }
-      pending.add(new Job(call, reply));
+      pending.add(new PendingStep(call, reply));
       if (!busy) {
         startBatch();
       }
@@ -171,18 +171,18 @@
 
   @GuardedBy("this")
   private void startBatch() {
-    List<Job> batch = new ArrayList<>();
+    List<PendingStep> batch = new ArrayList<>();
     double millis = options.stepMillis();
     while (!pending.isEmpty() && batch.size() < options.maxBatchSize()) {
-      Job job = pending.poll();
-      batch.add(job);
-      millis += options.perSessionMillis() + promptMillis(job.call());
+      PendingStep pendingStep = pending.poll();
+      batch.add(pendingStep);
+      millis += options.perSessionMillis() + promptMillis(pendingStep.call());
     }
     busy = true;
     executor.schedule(() -> finishBatch(batch), (long) (millis * 1e6), TimeUnit.NANOSECONDS);
   }
 
-  /** Returns the prefill time of a call's positions, without those in the prefix cache. */
+  /** Returns the prefill time of a call, excluding positions in the prefix cache. */
   @GuardedBy("this")
   private double promptMillis(StepCall call) {
     if (call.step() > 0 && !call.rebuilds()) {
@@ -211,11 +211,11 @@
     return options.endpoint().layers().get().from() == 0;
   }
 
-  private void finishBatch(List<Job> batch) {
+  private void finishBatch(List<PendingStep> batch) {
     List<Runnable> outcomes = new ArrayList<>();
     synchronized (this) {
-      for (Job job : batch) {
-        outcomes.add(runJob(job));
+      for (PendingStep pendingStep : batch) {
+        outcomes.add(runPending(pendingStep));
       }
       busy = false;
       if (!pending.isEmpty()) {
@@ -226,12 +226,12 @@
   }
 
   @GuardedBy("this")
-  private Runnable runJob(Job job) {
-    StepCall call = job.call();
+  private Runnable runPending(PendingStep pendingStep) {
+    StepCall call = pendingStep.call();
     // The session may have been ended or fenced while the call was queued.
     String refusal = refusalOf(call);
     if (!refusal.isEmpty()) {
-      return () -> job.reply().completeExceptionally(new EngineRefusal(refusal));
+      return () -> pendingStep.reply().completeExceptionally(new EngineRefusal(refusal));
     }
     Session session = sessionFor(call);
     ImmutableList.Builder<String> historyOutputs = ImmutableList.builder();
@@ -240,7 +240,7 @@
     }
     String output = runStep(call.session(), session, call.input(), false);
     StepReply reply = new StepReply(call.session(), call.step(), output, historyOutputs.build());
-    return () -> job.reply().complete(reply);
+    return () -> pendingStep.reply().complete(reply);
   }
 
   @GuardedBy("this")
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryEndpoints.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryEndpoints.java
@@ -226,9 +226,9 @@
                 }));
   }
 
-  private static <T> CompletableFuture<T> attempt(Supplier<T> handler) {
+  private static <T> CompletableFuture<T> attempt(Supplier<T> operation) {
     try {
-      return CompletableFuture.completedFuture(handler.get());
+      return CompletableFuture.completedFuture(operation.get());
     } catch (EngineRefusal e) {
       return CompletableFuture.failedFuture(e);
     }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/LoadProfile.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/LoadProfile.java
@@ -40,7 +40,7 @@
     STEADY,
     /** A linear increase from zero to twice the mean rate. */
     RAMP,
-    /** Four times the mean rate in the middle fifth of the time, a quarter of it otherwise. */
+    /** A shift change: four times the mean rate in the middle fifth, a quarter of it otherwise. */
     BURST,
     /** Poisson arrivals at the mean rate, four fifths of them from the first workspace. */
     FLOOD
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/RecoveryBench.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/RecoveryBench.java
@@ -24,9 +24,9 @@
  * Measures how long a stream is interrupted if one of its stages is killed, freezes or gets a slow
  * link.
  *
- * <p>Each trial uses a new fleet with several streams, injects one fault, and records the longest
- * gap between two tokens of each affected stream. The naive baseline does not detect missing
- * progress before the step timeout and then reruns the complete request on a new route.
+ * <p>Each trial uses a new fleet with several concurrent streams, injects one fault, and records
+ * the longest gap between two tokens of each affected stream. The naive baseline does not detect
+ * missing progress before the step timeout and then reruns the complete request on a new route.
  */
 @Command(name = "recovery", description = "Measures recovery from lost stages, in paused time.")
 public final class RecoveryBench implements Callable<Integer> {
