--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/StreamSchedule.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/StreamSchedule.java
@@ -9,9 +9,9 @@
 import java.util.Random;
 import org.vaneworks.coordination.requests.CallerOptions;
 import org.vaneworks.state.HostPort;
+import org.vaneworks.testlib.AnswerVerifier;
 import org.vaneworks.testlib.EngineCore;
 import org.vaneworks.testlib.InMemoryFleet;
-import org.vaneworks.testlib.Judge;
 import org.vaneworks.testlib.RecordedAnswer;
 
 /**
@@ -117,9 +117,9 @@
               case 1 -> freezeFor(address, pause);
               case 2 -> fleet.endpoints().loseAnswers(address, count);
               case 3 -> fleet.endpoints().exchangeAnswers(address, 2 * count);
-              case 4 -> fleet.endpoints().delay(address, Duration.ofMillis(30L * count));
-              case 5 -> fleet.endpoints().leave(address);
-              default -> fleet.boxes().leaving(box);
+              case 4 -> fleet.endpoints().setDelay(address, Duration.ofMillis(30L * count));
+              case 5 -> fleet.endpoints().markLeaving(address);
+              default -> fleet.boxes().markLeaving(box);
             }
           });
     }
@@ -138,12 +138,12 @@
     return sentRequests.stream().allMatch(sent -> sent.answer().isEnded());
   }
 
-  private void checkResults(List<String> problems) {
-    Judge judge = fleet.judge();
-    for (SentRequest sent : sentRequests) {
-      problems.addAll(judge.problemsOf(sent.answer(), sent.tokens(), sent.repeatable()));
-      if (sent.repeatable() && !sent.answer().isWhole()) {
-        problems.add("repeatable, but failed: " + sent.answer().refusal());
+private void checkResults(List<String>problems){
+AnswerVerifier judge=fleet.verifier();
+for(SentRequest sent:sentRequests){
+problems.addAll(judge.problemsOf(sent.answer(),sent.tokens(),sent.repeatable()));
+if(sent.repeatable()&&!sent.answer().isComplete()){
+problems.add("repeatable, but failed: "+sent.answer().refusal());
       }
     }
     for (EngineCore engine : fleet.endpoints().engines()) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/DelayedHealthCheckerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/DelayedHealthCheckerTest.java
@@ -100,8 +100,8 @@
   @Test
   void engineWithUnreadAnswersIsNotSuspected() {
     health.check(engine);
-    clock.standStill(LOOP_PAUSE);
-    clock.standStill(LOOP_PAUSE);
+clock.stall(LOOP_PAUSE);
+clock.stall(LOOP_PAUSE);
     clock.advance(Duration.ofMillis(100));
     assertEquals(0, suspicions);
     assertEquals(3, probes);
@@ -116,7 +116,7 @@
     health.check(engine);
     for (int i = 0; i < 4; i++) {
       assertFalse(engine.suspected());
-      clock.standStill(LOOP_PAUSE);
+clock.stall(LOOP_PAUSE);
     }
     assertTrue(engine.suspected());
     assertEquals(4, probes);
@@ -127,7 +127,7 @@
   void deadEngineIsSuspectedAfterTwoPunctualProbes() {
     alive = false;
     health.check(engine);
-    clock.standStill(LOOP_PAUSE);
+clock.stall(LOOP_PAUSE);
     clock.advance(Duration.ofMillis(200));
     assertTrue(engine.suspected());
     assertEquals(3, probes);
@@ -138,8 +138,8 @@
   void deadEngineIsSuspectedAfterTwoProbesWithToleratedDelay() {
     alive = false;
     health.check(engine);
-    clock.standStill(TOLERATED_PAUSE);
-    clock.standStill(TOLERATED_PAUSE);
+clock.stall(TOLERATED_PAUSE);
+clock.stall(TOLERATED_PAUSE);
     assertTrue(engine.suspected());
     assertEquals(2, probes);
     assertEquals(0, disregardedTimeouts());
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/RunningStreamTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/RunningStreamTest.java
@@ -146,11 +146,11 @@
   // Guards against a stream that is cut when its engine leaves: no other engine had its layers when
   // the engine announced that it was leaving, and one was added later.
   @Test
-  void streamLeavesLeavingEngineOnceAnotherHasItsLayers() {
-    startStream(NodeLimits.defaults());
-    fleet.boxes().leaving("a1");
-    fleet.clock().advance(UNRESPONSIVE_TIME);
-    EngineCore other = addEngine("a2", 0, SPLIT_LAYER);
+void streamLeavesLeavingEngineOnceAnotherHasItsLayers(){
+startStream(NodeLimits.defaults());
+fleet.boxes().markLeaving("a1");
+fleet.clock().advance(UNRESPONSIVE_TIME);
+EngineCore other=addEngine("a2",0,SPLIT_LAYER);
     await(() -> !other.ledger().isEmpty() || answer.isEnded());
     assertFalse(answer.isEnded(), "the stream ended on the leaving engine");
     int runBefore = first.ledger().size();
@@ -201,7 +201,7 @@
     for (int i = 0; i < LEARNING_STREAMS; i++) {
       learning.add(fleet.ask("n1", "learning " + i, LEARNING_TOKENS, CallerOptions.NONE));
     }
-    await(() -> learning.stream().allMatch(RecordedAnswer::isWhole));
+    await(() -> learning.stream().allMatch(RecordedAnswer::isComplete));
     answer = fleet.ask("n1", "prompt", TOKENS, CallerOptions.NONE);
     await(() -> answer.tokens().size() >= TOKENS_BEFORE_FREEZE);
   }
@@ -241,16 +241,16 @@
 
   private void assertDeliveredCompletely() {
     await(answer::isEnded);
-    assertTrue(answer.isWhole(), () -> "ended early: " + answer.refusal());
-    fleet.clock().advance(SETTLE_TIME);
-    assertEquals(ImmutableList.of(), fleet.judge().problemsOf(answer, TOKENS, true));
+assertTrue(answer.isComplete(),()->"ended early: "+answer.refusal());
+fleet.clock().advance(SETTLE_TIME);
+assertEquals(ImmutableList.of(),fleet.verifier().problemsOf(answer,TOKENS,true));
     for (EndpointState engine : fleet.node("n1").endpoints().all()) {
       assertEquals(0, engine.inFlight(), engine.endpoint().id()::toString);
     }
   }
 
   private void assertNothingRebuilt() {
-    ImmutableList<LedgerEntry> runs = fleet.judge().runsOf(answer.prompt());
-    assertTrue(runs.stream().noneMatch(LedgerEntry::rebuilt), "a session was rebuilt");
+ImmutableList<LedgerEntry>runs=fleet.verifier().runsOf(answer.prompt());
+assertTrue(runs.stream().noneMatch(LedgerEntry::rebuilt),"a session was rebuilt");
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/StreamSteps.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/StreamSteps.java
@@ -134,7 +134,7 @@
   /** Marks an engine as leaving in the platform's box list. */
   @When("the box list says that {word} is leaving")
   public void leaving(String box) {
-    world.fleet().boxes().leaving(box);
+    world.fleet().boxes().markLeaving(box);
   }
 
   /** Removes a box from the platform's box list. */
@@ -164,8 +164,8 @@
   public void answerIsWhole(String caller) {
     awaitEnd(caller);
     RecordedAnswer answer = world.answer(caller);
-    assertTrue(answer.isWhole(), () -> caller + ": " + answer.refusal());
-    checkGuarantees(caller);
+assertTrue(answer.isComplete(),()->caller+": "+answer.refusal());
+checkGuarantees(caller);
   }
 
   /**
@@ -192,7 +192,7 @@
     ImmutableList<String> problems =
         world
             .fleet()
-            .judge()
+            .verifier()
             .problemsOf(world.answer(caller), world.length(caller), world.isRepeatable(caller));
     assertEquals(ImmutableList.of(), problems);
   }
@@ -209,7 +209,7 @@
   @Then("no engine ran any part of {word}'s request")
   public void nothingRan(String caller) {
     String prompt = world.answer(caller).prompt();
-    assertEquals(ImmutableList.of(), world.fleet().judge().runsOf(prompt));
+    assertEquals(ImmutableList.of(), world.fleet().verifier().runsOf(prompt));
   }
 
   /** Checks that a node dropped at least a number of answers for the given reason. */
@@ -221,8 +221,8 @@
 
   /** Freezes the engine that most recently ran the first layers of a stream. */
   @When("the engine that runs {word}'s first layers freezes")
-  public void freezeFirstEngine(String caller) {
-    ImmutableList<LedgerEntry> runs = world.fleet().judge().runsOf(world.answer(caller).prompt());
+public void freezeFirstEngine(String caller){
+ImmutableList<LedgerEntry>runs=world.fleet().verifier().runsOf(world.answer(caller).prompt());
     int newest = runs.stream().mapToInt(LedgerEntry::step).max().orElseThrow();
     for (EngineCore engine : world.fleet().endpoints().engines()) {
       boolean isCurrent =
