--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SendRecord.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/AttemptRecord.java
@@ -3,7 +3,7 @@
 import org.vaneworks.state.HostPort;
 
 /** What became of one sending of a request, as its engine knows it. */
-final class SendRecord {
+final class AttemptRecord {
   /** How it ended. */
   enum End {
     /** It goes on, or was not read yet. */
@@ -28,7 +28,7 @@
   private long closedAtMillis;
   private End end = End.NONE;
 
-  SendRecord(HostPort engine, long sentAtMillis) {
+  AttemptRecord(HostPort engine, long sentAtMillis) {
     this.engine = engine;
     this.sentAtMillis = sentAtMillis;
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/BackoffTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/BackoffTest.java
@@ -20,7 +20,7 @@
   private static final int BACKOFF_MILLIS = 3000;
   private static final int A_SECOND = 28;
 
-  private final SharedEngines fleet = new SharedEngines(NODES, ENGINES, 7);
+  private final SimulatedCluster fleet = new SimulatedCluster(NODES, ENGINES, 7);
   private int asked;
   private final List<Got> answers = new ArrayList<>();
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestSchedulesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestSimulationTest.java
@@ -7,14 +7,14 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.vaneworks.daemon.entry.SharedEngines.Arrival;
+import org.vaneworks.daemon.entry.SimulatedCluster.Arrival;
 
 /**
  * Checks over random courses that a crashing request is held back: nodes are cut off from the
  * store, suspended and started anew, the store goes away and loses answers, meanwhile the request
  * comes again at any node.
  */
-final class CrashingRequestSchedulesTest {
+final class CrashingRequestSimulationTest {
   private static final int NODES = 4;
   private static final int ENGINES = 20;
   private static final int TROUBLED_STEPS = 30;
@@ -29,7 +29,7 @@
   /** One random course. */
   private static final class Course {
     private final Random random;
-    private final SharedEngines fleet;
+    private final SimulatedCluster fleet;
     private final boolean[] cut = new boolean[NODES];
 
     /** Times at which a node was in trouble, or the store was, which is trouble for all. */
@@ -41,7 +41,7 @@
     Course(long seed, boolean forgetful) {
       this.forgetful = forgetful;
       random = new Random(seed);
-      fleet = new SharedEngines(NODES, ENGINES, seed);
+      fleet = new SimulatedCluster(NODES, ENGINES, seed);
       for (int node = 0; node < NODES; node++) {
         troubles.add(new ArrayList<>());
       }
@@ -54,7 +54,7 @@
       }
       calm();
       for (int step = 0; step < CALM_STEPS; step++) {
-        fleet.ask(random.nextInt(NODES), SharedEngines.CRASHING);
+        fleet.ask(random.nextInt(NODES), SimulatedCluster.CRASHING);
         advance();
       }
     }
@@ -98,7 +98,7 @@
         case 8 -> suspend(node);
         case 9 -> restart(node);
         case 10 -> fleet.ask(node, "letter " + random.nextInt());
-        default -> fleet.ask(node, SharedEngines.CRASHING);
+        default -> fleet.ask(node, SimulatedCluster.CRASHING);
       }
     }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestTest.java
@@ -31,12 +31,12 @@
   /** How often it may still reach engines after that. */
   private static final int MOST_LATER = 3;
 
-  private final SharedEngines fleet = new SharedEngines(NODES, ENGINES, 7);
+  private final SimulatedCluster fleet = new SimulatedCluster(NODES, ENGINES, 7);
 
   /** Asks with the crashing request at one node after the other. */
   private void askAgainAndAgain(int times, int pauseMillis) {
     for (int i = 0; i < times; i++) {
-      fleet.ask(i, SharedEngines.CRASHING);
+      fleet.ask(i, SimulatedCluster.CRASHING);
       fleet.advance(pauseMillis);
     }
   }
@@ -68,7 +68,7 @@
     }
     fleet.advance(1000);
     long before = fleet.crashingArrivalsFrom(0);
-    Got got = fleet.ask(0, SharedEngines.CRASHING);
+    Got got = fleet.ask(0, SimulatedCluster.CRASHING);
     fleet.advance(1000);
     assertEquals(before, fleet.crashingArrivalsFrom(0));
     assertEquals(Reason.QUARANTINED, got.refusal.get().reason());
@@ -80,7 +80,7 @@
     fleet.store.down = true;
     for (int node = 0; node < NODES; node++) {
       // Each node sees one end or two: none of them has seen three.
-      fleet.ask(node, SharedEngines.CRASHING);
+      fleet.ask(node, SimulatedCluster.CRASHING);
       fleet.advance(100);
     }
     fleet.advance(3000);
@@ -128,7 +128,7 @@
     fleet.store.removeAll("quarantine/held/");
     fleet.advance(1000);
     long before = fleet.crashingArrivalsFrom(0);
-    fleet.ask(0, SharedEngines.CRASHING);
+    fleet.ask(0, SimulatedCluster.CRASHING);
     fleet.advance(1000);
     assertEquals(before + 1, fleet.crashingArrivalsFrom(0));
     askAgainAndAgain(10, 500);
@@ -158,7 +158,7 @@
   void otherRequestsThatWereAtTheSameEnginesAreServed() {
     List<Got> others = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      fleet.ask(i, SharedEngines.CRASHING);
+      fleet.ask(i, SimulatedCluster.CRASHING);
       for (int j = 0; j < 10; j++) {
         fleet.advance(50);
         others.add(fleet.ask(i + j, "letter " + others.size()));
@@ -191,7 +191,7 @@
   @Test
   void endsThatWereToldBeforeAStoreForgotThemStillCount() {
     fleet.store.takeCopy();
-    fleet.ask(0, SharedEngines.CRASHING);
+    fleet.ask(0, SimulatedCluster.CRASHING);
     fleet.advance(3000);
     fleet.store.comeBackFromCopy();
     fleet.advance(3000);
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/ListingSchedule.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EndpointListSimulation.java
@@ -12,7 +12,7 @@
  * for all, or one node is cut off from it; both also overlap. Judges which endpoints that node
  * gives new work to.
  */
-final class ListingSchedule {
+final class EndpointListSimulation {
   private static final int STEPS = 600;
   private static final int STEP_MILLIS = 100;
 
@@ -58,7 +58,7 @@
   }
 
   private final Random random;
-  private final ListedFleet node;
+  private final FleetWatchFixture node;
   private final List<Endpoint> endpoints = new ArrayList<>();
   private final List<String> problems = new ArrayList<>();
   private boolean lapses;
@@ -72,13 +72,13 @@
   private int outages;
   private int left;
 
-  private ListingSchedule(long seed) {
+  private EndpointListSimulation(long seed) {
     random = new Random(seed);
-    node = new ListedFleet(seed);
+    node = new FleetWatchFixture(seed);
   }
 
   static Schedules.Result run(long seed) {
-    ListingSchedule schedule = new ListingSchedule(seed);
+    EndpointListSimulation schedule = new EndpointListSimulation(seed);
     schedule.play();
     return new Schedules.Result(
         ImmutableList.copyOf(schedule.problems),
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/ListingSchedulesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EndpointListSimulationTest.java
@@ -12,7 +12,7 @@
 import org.vaneworks.tests.Schedules;
 
 /** Runs random courses of cuts, outages, lapsed entries and leavings. */
-final class ListingSchedulesTest {
+final class EndpointListSimulationTest {
   private static final Schedules SCHEDULES = new Schedules("listing");
 
   @Property(
@@ -21,7 +21,7 @@
       shrinking = ShrinkingMode.OFF,
       afterFailure = AfterFailureMode.PREVIOUS_SEED)
   void endpointsInUseAreThoseThatLive(@ForAll long seed) {
-    SCHEDULES.run(seed, ListingSchedule::run);
+    SCHEDULES.run(seed, EndpointListSimulation::run);
   }
 
   /**
@@ -30,7 +30,7 @@
    */
   @Example
   void courseInWhichAllKnownEndpointsLeaveDuringOneSilence() {
-    assertEquals(ImmutableList.of(), ListingSchedule.run(-691_308_409_820_403_680L).problems());
+    assertEquals(ImmutableList.of(), EndpointListSimulation.run(-691_308_409_820_403_680L).problems());
   }
 
   @AfterContainer
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StatementSchedulesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EndpointSignalSimulationTest.java
@@ -14,7 +14,7 @@
  * take them again, leave, stand still, and lapse from the list; nodes start again, are cut off from
  * the store, are suspended and don't hear of each other.
  */
-final class StatementSchedulesTest {
+final class EndpointSignalSimulationTest {
   private static final int STEPS = 60;
   private static final int MOST_NODES = 20;
   private static final int MOST_ENGINES = 6;
@@ -30,14 +30,14 @@
     private final Random random;
     private final int nodes;
     private final int engines;
-    private final SharedEngines fleet;
+    private final SimulatedCluster fleet;
     private int asked;
 
     Course(long seed) {
       random = new Random(seed);
       nodes = 1 + random.nextInt(MOST_NODES);
       engines = 1 + random.nextInt(MOST_ENGINES);
-      fleet = new SharedEngines(nodes, engines, 1 + random.nextInt(3), seed);
+      fleet = new SimulatedCluster(nodes, engines, 1 + random.nextInt(3), seed);
     }
 
     void play() {
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/ListedFleet.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/FleetWatchFixture.java
@@ -18,7 +18,7 @@
 import org.vaneworks.tests.shared.StoreLink;
 
 /** One node's table of endpoints, kept by its follower of the store, under a paused clock. */
-final class ListedFleet {
+final class FleetWatchFixture {
   private static final String PREFIX = "servers/";
   private static final String SERVICE = "records";
 
@@ -29,7 +29,7 @@
   private final Fleet fleet = Fleet.create(clock, counters, EntryNode.RELIST_GRACE);
   final PrefixFollower follower;
 
-  ListedFleet(long seed) {
+  FleetWatchFixture(long seed) {
     follower =
         PrefixFollower.create(
             clock,
@@ -39,7 +39,7 @@
             PREFIX,
             () -> Duration.ofMillis(1250),
             () -> Duration.ofMillis(500),
-            new EndpointListWatch(PREFIX, ListedFleet::endpoint, fleet, counters),
+            new EndpointListWatch(PREFIX, FleetWatchFixture::endpoint, fleet, counters),
             new BoxTime(clock).watch());
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RunningAnswerCourse.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/InFlightResponseSimulation.java
@@ -20,7 +20,7 @@
  * turn requests away and fail; repeated sends run out; nodes stand still, start again and take
  * configurations.
  */
-final class RunningAnswerCourse {
+final class InFlightResponseSimulation {
   private static final int STEPS = 36;
   private static final int MOST_NODES = 4;
   private static final int LONGEST_STEP_MILLIS = 400;
@@ -48,11 +48,11 @@
 
   private final Random random;
   private final int nodes;
-  private final SharedEngines fleet;
-  private final ImmutableList<EntryRoute> routes = CourseConfiguration.routes();
-  private final Map<String, CourseCaller> callers = new HashMap<>();
-  private final List<CourseCaller> inOrder = new ArrayList<>();
-  private final List<ResendLedger> ledgers = new ArrayList<>();
+  private final SimulatedCluster fleet;
+  private final ImmutableList<EntryRoute> routes = SimulationConfiguration.routes();
+  private final Map<String, SimulatedCaller> callers = new HashMap<>();
+  private final List<SimulatedCaller> inOrder = new ArrayList<>();
+  private final List<RetryBudgetChecker> ledgers = new ArrayList<>();
   private final List<String> problems = new ArrayList<>();
   private ForwardingLimits limits;
   private int version = 1;
@@ -60,16 +60,16 @@
   private final int askPauseMillis;
   private final boolean crashing;
 
-  RunningAnswerCourse(long seed) {
+  InFlightResponseSimulation(long seed) {
     random = new Random(seed);
     nodes = 1 + random.nextInt(MOST_NODES);
     limits = limits();
-    fleet = new SharedEngines(nodes, seed, CourseConfiguration.of(version, 15_000), limits);
+    fleet = new SimulatedCluster(nodes, seed, SimulationConfiguration.of(version, 15_000), limits);
     tokens = 100 + random.nextInt(1000);
     askPauseMillis = 8 + random.nextInt(60);
     crashing = random.nextInt(8) == 0;
     for (int i = 0; i < nodes; i++) {
-      ledgers.add(new ResendLedger(limits, nodes, fleet::nowMillis));
+      ledgers.add(new RetryBudgetChecker(limits, nodes, fleet::nowMillis));
     }
     startEndpoints();
     fleet.onSend(this::sending);
@@ -103,7 +103,7 @@
       ask(1 + random.nextInt(LONGEST_STEP_MILLIS));
     }
     fleet.advance(UNTIL_ALL_IS_OVER_MILLIS);
-    for (CourseCaller caller : inOrder) {
+    for (SimulatedCaller caller : inOrder) {
       problems.addAll(caller.problems(fleet.sendsOf(caller.id())));
     }
     problems.addAll(fleet.leftOver());
@@ -113,7 +113,7 @@
   /** Returns what the course came to. */
   Map<String, Integer> counts() {
     Map<String, Integer> counts = new TreeMap<>();
-    for (CourseCaller caller : inOrder) {
+    for (SimulatedCaller caller : inOrder) {
       counts.merge(caller.outcome(), 1, Integer::sum);
       counts.merge("sends", fleet.sendsOf(caller.id()).size(), Integer::sum);
     }
@@ -135,11 +135,11 @@
   private void spendBudgets() {
     for (int node = 0; node < nodes; node++) {
       for (int i = 0; i < FIRST_STREAMS; i++) {
-        ask(node, CourseConfiguration.route(CallKind.RESUMABLE_STREAM, 2), FIRST_TOKENS);
+        ask(node, SimulationConfiguration.route(CallKind.RESUMABLE_STREAM, 2), FIRST_TOKENS);
       }
     }
     fleet.advance(FIRST_PART_MILLIS);
-    ImmutableList<CourseCaller> first = ImmutableList.copyOf(inOrder);
+    ImmutableList<SimulatedCaller> first = ImmutableList.copyOf(inOrder);
     HostPort engine = engineOf(first.get(0));
     fleet.pauses(fleet.placeOf(engine), FIRST_PAUSE_MILLIS);
     fleet.advance(FIRST_PAUSE_MILLIS - 1);
@@ -148,14 +148,14 @@
     }
   }
 
-  private HostPort engineOf(CourseCaller caller) {
+  private HostPort engineOf(SimulatedCaller caller) {
     return fleet.sendsOf(caller.id()).get(0).engine();
   }
 
-  private void checkMoves(int node, ImmutableList<CourseCaller> callers, HostPort engine) {
+  private void checkMoves(int node, ImmutableList<SimulatedCaller> callers, HostPort engine) {
     long held = 0;
     long moved = 0;
-    for (CourseCaller caller : callers) {
+    for (SimulatedCaller caller : callers) {
       if (caller.node() == node && engineOf(caller).equals(engine)) {
         held++;
         moved += fleet.sendsOf(caller.id()).size() - 1;
@@ -174,18 +174,18 @@
   private void ask(int node, EntryRoute route, int size) {
     String id = "q" + inOrder.size();
     boolean crashes = crashing && size == tokens && random.nextInt(CRASHING_ONE_IN) == 0;
-    String body = crashes ? SharedEngines.CRASHING : "letter " + id;
+    String body = crashes ? SimulatedCluster.CRASHING : "letter " + id;
     // Now and then a caller with little time left.
     int limit = size == tokens && random.nextInt(8) == 0 ? 200 + random.nextInt(3000) : 20_000;
-    SharedEngines.Asked asked =
-        new SharedEngines.Asked(
+    SimulatedCluster.Asked asked =
+        new SimulatedCluster.Asked(
             id,
             route.pathPrefix(),
             body,
             Duration.ofMillis(Math.min(limit, route.timeout().toMillis())),
             new RequestSize(size, 100));
-    CourseCaller caller =
-        new CourseCaller(asked, route, node, fleet::nowMillis, () -> fleet.stoodStillMillis(node));
+    SimulatedCaller caller =
+        new SimulatedCaller(asked, route, node, fleet::nowMillis, () -> fleet.stoodStillMillis(node));
     callers.put(id, caller);
     inOrder.add(caller);
     fleet.atNode(node, ledgers.get(node)::noteRequest);
@@ -193,7 +193,7 @@
   }
 
   private void sending(int node, String id) {
-    ImmutableList<SendRecord> sends = fleet.sendsOf(id);
+    ImmutableList<AttemptRecord> sends = fleet.sendsOf(id);
     callers.get(id).sending(sends);
     if (sends.size() > 1 && !ledgers.get(node).noteResend()) {
       problems.add("repeated sends of node " + node + " exceed the budget with " + id);
@@ -236,9 +236,9 @@
 
   /** Ends a run of a node with its callers' connections. */
   private void restart(int node) {
-    inOrder.stream().filter(caller -> caller.node() == node).forEach(CourseCaller::nodeEnded);
+    inOrder.stream().filter(caller -> caller.node() == node).forEach(SimulatedCaller::nodeEnded);
     fleet.restartNode(node);
-    ledgers.set(node, new ResendLedger(limits, nodes, fleet::nowMillis));
+    ledgers.set(node, new RetryBudgetChecker(limits, nodes, fleet::nowMillis));
   }
 
   /** Changes the idle limit and the bounds on repeated sends; to read it holds nodes up. */
@@ -248,9 +248,9 @@
     limits = next;
     int idle = 5000 + random.nextInt(20_000);
     for (int node = 0; node < nodes; node++) {
-      ResendLedger ledger = ledgers.get(node);
+      RetryBudgetChecker ledger = ledgers.get(node);
       fleet.atNode(node, () -> ledger.limits(next));
-      fleet.configure(node, CourseConfiguration.of(version, idle), next);
+      fleet.configure(node, SimulationConfiguration.of(version, idle), next);
       fleet.nodeStandsStill(node, random.nextInt(LONGEST_STANDSTILL_MILLIS));
     }
   }
@@ -259,7 +259,7 @@
     inOrder.stream().filter(caller -> random.nextInt(4) == 0).forEach(this::leave);
   }
 
-  private void leave(CourseCaller caller) {
+  private void leave(SimulatedCaller caller) {
     caller.leave();
     fleet.atNode(caller.node(), caller::gone);
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RunningAnswerSchedulesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/InFlightResponseSimulationTest.java
@@ -18,7 +18,7 @@
  *
  * <p>Guards against a node that lets go of an engine that pauses and lives, and has no other.
  */
-final class RunningAnswerSchedulesTest {
+final class InFlightResponseSimulationTest {
   private static final Schedules SCHEDULES = new Schedules("running answer");
 
   @Property(
@@ -30,7 +30,7 @@
     SCHEDULES.run(
         seed,
         each -> {
-          RunningAnswerCourse course = new RunningAnswerCourse(each);
+          InFlightResponseSimulation course = new InFlightResponseSimulation(each);
           return new Schedules.Result(course.play(), course.counts());
         });
   }
@@ -39,7 +39,7 @@
   @Test
   void streamIsNotLetGoForAnEngineThatTurnsItAway() {
     for (long seed : new long[] {54, 69, 83, 663}) {
-      assertEquals(ImmutableList.of(), new RunningAnswerCourse(seed).play(), "seed " + seed);
+      assertEquals(ImmutableList.of(), new InFlightResponseSimulation(seed).play(), "seed " + seed);
     }
   }
 
@@ -47,14 +47,14 @@
   // taken off its path.
   @Test
   void streamIsNotCutForAnEngineThatItNoLongerPasses() {
-    assertEquals(ImmutableList.of(), new RunningAnswerCourse(98).play());
+    assertEquals(ImmutableList.of(), new InFlightResponseSimulation(98).play());
   }
 
   // Guards against a stream that goes on, still waits for another place, and is then sent twice.
   @ParameterizedTest
   @ValueSource(longs = {30, 74, 113, 236})
   void streamThatMakesProgressWaitsForNoOtherPlace(long seed) {
-    assertEquals(ImmutableList.of(), new RunningAnswerCourse(seed).play());
+    assertEquals(ImmutableList.of(), new InFlightResponseSimulation(seed).play());
   }
 
   @AfterContainer
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/LeavingByAnswerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/LeavingSignalTest.java
@@ -5,13 +5,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Checks that an engine that says in its answers that it leaves gets no more requests. */
-final class LeavingByAnswerTest {
+final class LeavingSignalTest {
   private static final int NODES = 8;
   private static final int LEAVING = 1;
   private static final int ENDS_AFTER_MILLIS = 8000;
   private static final int A_SECOND = 28;
 
-  private final SharedEngines fleet = new SharedEngines(NODES, 3, 7);
+  private final SimulatedCluster fleet = new SimulatedCluster(NODES, 3, 7);
   private int asked;
 
   /** Asks nodes in turn. */
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/LimitedEngineSchedulesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RateLimitedEngineSimulationTest.java
@@ -12,7 +12,7 @@
  * Checks over random courses that engines get no more than they say: limits begin, change and end,
  * nodes start again, are cut off from the store, are suspended and don't hear of each other.
  */
-final class LimitedEngineSchedulesTest {
+final class RateLimitedEngineSimulationTest {
   private static final int STEPS = 60;
   private static final int MOST_NODES = 30;
   private static final int MOST_ENGINES = 6;
@@ -27,14 +27,14 @@
     private final Random random;
     private final int nodes;
     private final int engines;
-    private final SharedEngines fleet;
+    private final SimulatedCluster fleet;
     private int asked;
 
     Course(long seed) {
       random = new Random(seed);
       nodes = 1 + random.nextInt(MOST_NODES);
       engines = 1 + random.nextInt(MOST_ENGINES);
-      fleet = new SharedEngines(nodes, engines, 1 + random.nextInt(3), seed);
+      fleet = new SimulatedCluster(nodes, engines, 1 + random.nextInt(3), seed);
     }
 
     void play() {
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/LimitedEngineTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RateLimitedEngineTest.java
@@ -23,14 +23,14 @@
  * node writes at the first answer with a limit, the nodes that had it sent 24 requests too many in
  * four seconds, all of them first sends.
  */
-final class LimitedEngineTest {
+final class RateLimitedEngineTest {
   private static final int NODES = 8;
   private static final int ENGINES = 3;
   private static final int LIMITED = 1;
   private static final double LIMIT = 3.3;
   private static final int A_SECOND = 28;
 
-  private SharedEngines fleet = new SharedEngines(NODES, ENGINES, 7);
+  private SimulatedCluster fleet = new SimulatedCluster(NODES, ENGINES, 7);
   private int nodes = NODES;
   private int asked;
   private final List<Got> answers = new ArrayList<>();
@@ -81,7 +81,7 @@
 
   @Test
   void engineIsStillUsedWhileOthersHaveRoom() {
-    fleet = new SharedEngines(NODES, ENGINES, ENGINES, 7);
+    fleet = new SimulatedCluster(NODES, ENGINES, ENGINES, 7);
     engineSays(StatedLimit.of(LIMIT));
     ask(5);
     long from = fleet.nowMillis();
@@ -150,7 +150,7 @@
   @Test
   void boundHoldsAtEighteenNodesInThreeDataCentres() {
     nodes = 18;
-    fleet = new SharedEngines(nodes, 6, 3, 7);
+    fleet = new SimulatedCluster(nodes, 6, 3, 7);
     ask(5, 125);
     engineSays(StatedLimit.of(2));
     ask(30, 125);
@@ -162,7 +162,7 @@
   @Test
   void limitIsKeptByNodesThatAreManyTimesMoreThanItAllows() {
     nodes = 120;
-    fleet = new SharedEngines(nodes, 4, 7);
+    fleet = new SimulatedCluster(nodes, 4, 7);
     ask(5, 250);
     engineSays(StatedLimit.of(1.5));
     ask(30, 250);
@@ -185,7 +185,7 @@
 
   @Test
   void onlyEngineIsGivenNearlyAllThatItTakes() {
-    fleet = new SharedEngines(NODES, 1, 7);
+    fleet = new SimulatedCluster(NODES, 1, 7);
     ask(3);
     fleet.arrivalsAt(0).limit(StatedLimit.of(LIMIT), fleet.nowMillis());
     ask(40);
@@ -196,7 +196,7 @@
 
   @Test
   void nodeWithoutAShareOfTheOnlyEngineRefusesAtOnceAsNotRun() {
-    fleet = new SharedEngines(NODES, 1, 7);
+    fleet = new SimulatedCluster(NODES, 1, 7);
     ask(3);
     // One node has all of it.
     fleet.arrivalsAt(0).limit(StatedLimit.of(0.9), fleet.nowMillis());
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/ResendLedger.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RetryBudgetChecker.java
@@ -10,7 +10,7 @@
  * One node's repeated sends against the users' bounds: in whatever window, a share of its requests
  * and its part of a reserve.
  */
-final class ResendLedger {
+final class RetryBudgetChecker {
   /** A repeated send that was allowed may wait for room so long before it goes. */
   private static final long WAITS_MILLIS = 3000;
 
@@ -27,7 +27,7 @@
   private double share;
   private double sum;
 
-  ResendLedger(ForwardingLimits limits, int nodes, LongSupplier clock) {
+  RetryBudgetChecker(ForwardingLimits limits, int nodes, LongSupplier clock) {
     this.nodes = nodes;
     this.clock = clock;
     limits(limits);
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CourseCaller.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCaller.java
@@ -23,7 +23,7 @@
  * its engine ended it, its time is over or it left itself; not because its node let go of an engine
  * that would have gone on.
  */
-final class CourseCaller implements CallerAnswer {
+final class SimulatedCaller implements CallerAnswer {
   /** Its node let go of an engine for another, which turned the request away. */
   static final String LET_GO_IN_VAIN = "cut as it was let go for an engine without room";
 
@@ -33,7 +33,7 @@
   /** A node that goes on after it stood still reads what has arrived since. */
   private static final int LATEST_MILLIS = 50;
 
-  private final SharedEngines.Asked asked;
+  private final SimulatedCluster.Asked asked;
   private final EntryRoute route;
   private final int node;
   private final LongSupplier clock;
@@ -57,8 +57,8 @@
    *
    * @param stoodStill for how long its node has stood still, in milliseconds
    */
-  CourseCaller(
-      SharedEngines.Asked asked,
+  SimulatedCaller(
+      SimulatedCluster.Asked asked,
       EntryRoute route,
       int node,
       LongSupplier clock,
@@ -187,20 +187,20 @@
    *
    * <p>An answer that it has begun to get may go on at its endpoint until another has taken it.
    */
-  void sending(ImmutableList<SendRecord> before) {
+  void sending(ImmutableList<AttemptRecord> before) {
     check(!isOver(), "sent after the end");
     // The send that is noted now is the last one.
     long underWay =
         before.stream()
             .limit(Math.max(0, before.size() - 1))
-            .filter(send -> !send.isClosed() && send.end() != SendRecord.End.ENGINE_ENDED)
+            .filter(send -> !send.isClosed() && send.end() != AttemptRecord.End.ENGINE_ENDED)
             .count();
     boolean mayGoOn = hasHead() && route.kind().idempotent() && route.kind().streamed();
     check(underWay <= (mayGoOn ? 1 : 0), "sent while it runs at " + before);
   }
 
   /** Returns what is wrong with what it got, once all is over. */
-  ImmutableList<String> problems(ImmutableList<SendRecord> sends) {
+  ImmutableList<String> problems(ImmutableList<AttemptRecord> sends) {
     check(isOver(), "no end");
     checkRuns(sends);
     checkMoves(sends);
@@ -214,15 +214,15 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  private void checkRuns(ImmutableList<SendRecord> sends) {
-    long runs = sends.stream().filter(SendRecord::wasTaken).count();
+  private void checkRuns(ImmutableList<AttemptRecord> sends) {
+    long runs = sends.stream().filter(AttemptRecord::wasTaken).count();
     int most = route.kind().idempotent() ? route.attempts() : 1;
     check(runs <= most, "it ran " + runs + " times");
   }
 
   /** An engine that would have gone on is left only while the request is at another one. */
-  private void checkMoves(ImmutableList<SendRecord> sends) {
-    for (SendRecord send : sends) {
+  private void checkMoves(ImmutableList<AttemptRecord> sends) {
+    for (AttemptRecord send : sends) {
       long at = send.closedAtMillis();
       boolean over = left || at >= overAt;
       boolean elsewhere = sends.stream().anyMatch(other -> other != send && other.isUnderWayAt(at));
@@ -234,7 +234,7 @@
     if (got.status.filter(status -> status == 200).isEmpty()) {
       return;
     }
-    int last = route.kind().streamed() ? SharedEngines.EVENTS : 1;
+    int last = route.kind().streamed() ? SimulatedCluster.EVENTS : 1;
     String all = events(last);
     check(got.whole ? got.body.equals(all) : all.startsWith(got.body), "it got " + got.body);
   }
@@ -246,28 +246,28 @@
     return all.toString();
   }
 
-  private void checkCut(ImmutableList<SendRecord> sends) {
+  private void checkCut(ImmutableList<AttemptRecord> sends) {
     if (overAt >= takenAt + asked.limit().toMillis()) {
       return;
     }
-    Optional<SendRecord> kept =
+    Optional<AttemptRecord> kept =
         Streams.findLast(
             sends.stream().filter(send -> !send.wasLetGo() || send.closedAtMillis() >= overAt));
     check(kept.isPresent(), "cut after it had been let go everywhere");
     kept.ifPresent(last -> checkCut(last, sends));
   }
 
-  private void checkCut(SendRecord last, ImmutableList<SendRecord> sends) {
-    if (last.end() == SendRecord.End.TURNED_AWAY) {
-      check(sends.stream().noneMatch(SendRecord::wasLetGo), LET_GO_IN_VAIN);
+  private void checkCut(AttemptRecord last, ImmutableList<AttemptRecord> sends) {
+    if (last.end() == AttemptRecord.End.TURNED_AWAY) {
+      check(sends.stream().noneMatch(AttemptRecord::wasLetGo), LET_GO_IN_VAIN);
     } else {
       check(last.wasEndedByEngine(), "cut though its engine would have gone on");
     }
   }
 
-  private void checkRefusal(Refusal refusal, ImmutableList<SendRecord> sends) {
+  private void checkRefusal(Refusal refusal, ImmutableList<AttemptRecord> sends) {
     if (refusal.verdict() == Verdict.NOT_RUN) {
-      check(sends.stream().noneMatch(SendRecord::wasTaken), "NOT_RUN though an engine ran it");
+      check(sends.stream().noneMatch(AttemptRecord::wasTaken), "NOT_RUN though an engine ran it");
     }
     if (sends.isEmpty()) {
       check(tookMillis <= PATIENCE_MILLIS + LATEST_MILLIS, "refused late, and never sent");
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCluster.java
@@ -84,7 +84,7 @@
  * it runs; another takes its place three seconds later, under a new id. Every engine holds all
  * layers.
  */
-final class SharedEngines {
+final class SimulatedCluster {
   static final String CRASHING = "crashing";
 
   static final String SERVICE = "writer";
@@ -123,7 +123,7 @@
 
   private final List<Arrival> crashingArrivals = new ArrayList<>();
   private final List<Long> ends = new ArrayList<>();
-  private final Map<String, List<SendRecord>> sends = new HashMap<>();
+  private final Map<String, List<AttemptRecord>> sends = new HashMap<>();
   private final long seed;
   private final int dataCentres;
 
@@ -144,12 +144,12 @@
   private int runs;
   private int asked;
 
-  SharedEngines(int nodes, int engines, long seed) {
+  SimulatedCluster(int nodes, int engines, long seed) {
     this(nodes, engines, 1, seed);
   }
 
   /** Makes nodes and engines that stand in the data centres in turn. */
-  SharedEngines(int nodes, int engines, int dataCentres, long seed) {
+  SimulatedCluster(int nodes, int engines, int dataCentres, long seed) {
     this.seed = seed;
     this.dataCentres = dataCentres;
     inDetail = false;
@@ -163,7 +163,7 @@
   }
 
   /** Makes nodes before no endpoint yet, whose faults are played in detail. */
-  SharedEngines(int nodes, long seed, EntryConfiguration configuration, ForwardingLimits limits) {
+  SimulatedCluster(int nodes, long seed, EntryConfiguration configuration, ForwardingLimits limits) {
     this.seed = seed;
     this.dataCentres = 1;
     this.configuration = configuration;
@@ -250,10 +250,10 @@
 
     void take(Running request) {
       if (ended) {
-        request.sent.end(SendRecord.End.ENGINE_ENDED);
+        request.sent.end(AttemptRecord.End.ENGINE_ENDED);
         request.tell(() -> request.listener.failed(true, refused()));
       } else if (silentUntil == FOR_GOOD) {
-        request.sent.end(SendRecord.End.ENGINE_ENDED);
+        request.sent.end(AttemptRecord.End.ENGINE_ENDED);
       } else if (isSilent()) {
         unread.add(request);
         whenAwake(() -> read(request));
@@ -280,7 +280,7 @@
       backoffs.called(request.node, nowMillis());
       drain.arrived(request.node, nowMillis());
       if (holdsNothing()) {
-        request.sent.end(SendRecord.End.TURNED_AWAY);
+        request.sent.end(AttemptRecord.End.TURNED_AWAY);
         Head head =
             new Head(
                 MISDIRECTED, true, true, Optional.of(endpoint.address()), EndpointStatement.NONE);
@@ -288,7 +288,7 @@
         return;
       }
       if (turnsAwayForMillis.isPresent()) {
-        request.sent.end(SendRecord.End.TURNED_AWAY);
+        request.sent.end(AttemptRecord.End.TURNED_AWAY);
         Head head = turnedAway(request.node, request.isHeard());
         request.tell(() -> request.listener.head(head));
         return;
@@ -348,7 +348,7 @@
 
     private void fail(Running request) {
       running.remove(request);
-      request.sent.end(SendRecord.End.ENGINE_FAILED);
+      request.sent.end(AttemptRecord.End.ENGINE_FAILED);
       request.tell(() -> request.listener.head(Head.of(FAILURE)));
       request.tell(request.listener::end);
     }
@@ -377,7 +377,7 @@
         later(STEP_MILLIS, () -> event(request, number + 1));
       } else {
         running.remove(request);
-        request.sent.end(SendRecord.End.WHOLE);
+        request.sent.end(AttemptRecord.End.WHOLE);
         request.tell(request.listener::end);
       }
     }
@@ -387,7 +387,7 @@
       List<Running> lost = ImmutableList.copyOf(Iterables.concat(running, unread));
       running.clear();
       unread.clear();
-      lost.forEach(request -> request.sent.end(SendRecord.End.ENGINE_ENDED));
+      lost.forEach(request -> request.sent.end(AttemptRecord.End.ENGINE_ENDED));
       lost.forEach(
           request ->
               later(
@@ -400,7 +400,7 @@
     /** Ends so that nothing comes any more, not even the end of its connections. */
     private void dieSilently() {
       Iterables.concat(running, unread)
-          .forEach(request -> request.sent.end(SendRecord.End.ENGINE_ENDED));
+          .forEach(request -> request.sent.end(AttemptRecord.End.ENGINE_ENDED));
       running.clear();
       unread.clear();
       silentUntil = FOR_GOOD;
@@ -489,7 +489,7 @@
     private final Node run;
     private final Attempt attempt;
     private final EndpointCalls.Listener listener;
-    private final SendRecord sent;
+    private final AttemptRecord sent;
 
     /** The engines of its path after the first, as they were when it came there. */
     private ImmutableList<Engine> later = ImmutableList.of();
@@ -499,7 +499,7 @@
       this.run = run;
       this.attempt = attempt;
       this.listener = listener;
-      sent = new SendRecord(attempt.endpoint().address(), nowMillis());
+      sent = new AttemptRecord(attempt.endpoint().address(), nowMillis());
       attempt.path().ifPresent(this::goOver);
     }
 
@@ -597,7 +597,7 @@
 
   /** One node. */
   private final class Node implements EngineControl {
-    private final NodeClock clock = new NodeClock(SharedEngines.this.clock);
+    private final SimulatedEventLoop clock = new SimulatedEventLoop(SimulatedCluster.this.clock);
     private final Fleet fleet;
     private EntryConfiguration known = configuration;
     private final StoreLink link = new StoreLink(clock, store);
@@ -640,7 +640,7 @@
               PrefixRouter.of(
                   ImmutableMap.of(
                       ENTRIES,
-                      new EndpointListWatch(ENTRIES, SharedEngines.this::listed, fleet, counters),
+                      new EndpointListWatch(ENTRIES, SimulatedCluster.this::listed, fleet, counters),
                       QUARANTINE,
                       quarantine)),
               time.watch());
@@ -907,7 +907,7 @@
   }
 
   /** Returns how a request was sent to engines, in order. */
-  ImmutableList<SendRecord> sendsOf(String id) {
+  ImmutableList<AttemptRecord> sendsOf(String id) {
     return ImmutableList.copyOf(sends.getOrDefault(id, ImmutableList.of()));
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/NodeClock.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedEventLoop.java
@@ -11,14 +11,14 @@
  *
  * <p>Once it goes on, the timers that came due meanwhile run before what arrived meanwhile is read.
  */
-final class NodeClock implements Executor {
+final class SimulatedEventLoop implements Executor {
   private final Executor clock;
   private final Queue<Runnable> arrived = new ArrayDeque<>();
   private long stillUntilNanos;
   private long stoodStillNanos;
   private boolean ended;
 
-  NodeClock(Executor clock) {
+  SimulatedEventLoop(Executor clock) {
     this.clock = clock;
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CourseConfiguration.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulationConfiguration.java
@@ -16,13 +16,13 @@
 import org.vaneworks.tests.placement.Models;
 
 /** A configuration with a route for each kind of request, with one attempt and with two. */
-final class CourseConfiguration {
+final class SimulationConfiguration {
   private static final ImmutableList<CallKind> KINDS = ImmutableList.copyOf(CallKind.values());
   private static final int MOST_ATTEMPTS = 2;
   private static final Duration STREAM_LIMIT = Duration.ofSeconds(20);
   private static final Duration PLAIN_LIMIT = Duration.ofMillis(800);
 
-  private CourseConfiguration() {}
+  private SimulationConfiguration() {}
 
   /**
    * Returns a version of it.
@@ -34,9 +34,9 @@
         version,
         routes(),
         List.of(
-            new ServiceProfile(SharedEngines.SERVICE, 1000, Optional.of(Models.eightyLayers())),
-            new ServiceProfile(SharedEngines.REPLICATED, 100, Optional.empty())),
-        Map.of(SharedEngines.KEY, new Caller("scheme", OptionalInt.empty())),
+            new ServiceProfile(SimulatedCluster.SERVICE, 1000, Optional.of(Models.eightyLayers())),
+            new ServiceProfile(SimulatedCluster.REPLICATED, 100, Optional.empty())),
+        Map.of(SimulatedCluster.KEY, new Caller("scheme", OptionalInt.empty())),
         new EntryLimits(16_384, 1 << 20, Duration.ofSeconds(3), Duration.ofMillis(idleMillis)));
   }
 
@@ -55,7 +55,7 @@
   static EntryRoute route(CallKind kind, int attempts) {
     String prefix = "/" + kind + "/" + attempts + "/";
     boolean streamed = kind.streamed();
-    String service = streamed ? SharedEngines.SERVICE : SharedEngines.REPLICATED;
+    String service = streamed ? SimulatedCluster.SERVICE : SimulatedCluster.REPLICATED;
     return new EntryRoute(
         prefix,
         "host.example",
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreCutTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreDisconnectTest.java
@@ -19,8 +19,8 @@
  * the node's first view after the cut, and as dropped when the 2.5 s were over; nodes that were not
  * cut off dropped it at once.
  */
-final class StoreCutTest {
-  private final ListedFleet node = new ListedFleet(5);
+final class StoreDisconnectTest {
+  private final FleetWatchFixture node = new FleetWatchFixture(5);
 
   private void follow() {
     node.list("a", "b", "c");
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreReturnCostTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreCostTest.java
@@ -21,7 +21,7 @@
 import org.vaneworks.tests.shared.StoreLink;
 
 /** Checks how often nodes call a store that has just come back from an older copy. */
-final class StoreReturnCostTest {
+final class StoreRestoreCostTest {
   private static final String PREFIX = "vaneworks/";
   private static final Duration KEY_REVOCATION = Duration.ofSeconds(5);
   private static final int COUNTED_MILLIS = 2000;
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/ReturningStoreCourse.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreSimulation.java
@@ -40,7 +40,7 @@
  * endpoints come, announce their end and go. The operator and the endpoints write again what the
  * store forgot. One engine takes orders of whoever is the controller, and refuses lower fences.
  */
-final class ReturningStoreCourse {
+final class StoreRestoreSimulation {
   private static final String OWN = "vaneworks/";
   private static final String ENTRIES = "servers/";
   private static final String CONFIGURATION = "op/config";
@@ -73,7 +73,7 @@
   private int endpoints;
   private int runs;
 
-  ReturningStoreCourse(long seed) {
+  StoreRestoreSimulation(long seed) {
     random = new Random(seed);
   }
 
@@ -81,8 +81,8 @@
    * Makes a course in which some nodes get the store's answers late, also across its returns; what
    * else happens is that of the seed.
    */
-  static ReturningStoreCourse withLateAnswers(long seed) {
-    ReturningStoreCourse course = new ReturningStoreCourse(seed);
+  static StoreRestoreSimulation withLateAnswers(long seed) {
+    StoreRestoreSimulation course = new StoreRestoreSimulation(seed);
     course.lateness = Optional.of(new Random(~seed));
     return course;
   }
@@ -106,7 +106,7 @@
       Counters counters = Counters.in(new SimpleMeterRegistry());
       Random chance = new Random(random.nextLong());
       fleet = Fleet.create(clock, counters, EntryNode.RELIST_GRACE);
-      configuration = new ConfigurationWatch(CONFIGURATION, ReturningStoreCourse::configuration);
+      configuration = new ConfigurationWatch(CONFIGURATION, StoreRestoreSimulation::configuration);
       lease =
           NodeLease.create(
               clock,
@@ -133,7 +133,7 @@
                       configuration,
                       ENTRIES,
                       new EndpointListWatch(
-                          ENTRIES, ReturningStoreCourse::endpoint, fleet, counters),
+                          ENTRIES, StoreRestoreSimulation::endpoint, fleet, counters),
                       OWN,
                       lease)),
               time.watch());
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/ReturningStoreSchedulesTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreSimulationTest.java
@@ -9,7 +9,7 @@
 import org.vaneworks.tests.Schedules;
 
 /** Checks over random courses that nothing rests on what a store has forgotten. */
-final class ReturningStoreSchedulesTest {
+final class StoreRestoreSimulationTest {
   /** More of them are played by hand. */
   private static final int COURSES_A_TRY =
       Math.max(1, Integer.getInteger("vaneworks.schedules", Schedules.TRIES) / Schedules.TRIES);
@@ -18,7 +18,7 @@
   void nodesGoOnWhateverTheStoreForgets(@ForAll long seed) {
     for (int i = 0; i < COURSES_A_TRY; i++) {
       assertEquals(
-          ImmutableList.of(), new ReturningStoreCourse(seed + i).play(), "course " + (seed + i));
+          ImmutableList.of(), new StoreRestoreSimulation(seed + i).play(), "course " + (seed + i));
     }
   }
 
@@ -27,7 +27,7 @@
     for (int i = 0; i < COURSES_A_TRY; i++) {
       assertEquals(
           ImmutableList.of(),
-          ReturningStoreCourse.withLateAnswers(seed + i).play(),
+          StoreRestoreSimulation.withLateAnswers(seed + i).play(),
           "course " + (seed + i));
     }
   }
@@ -38,13 +38,13 @@
    */
   @Test
   void endpointThatTheNextCopyNamesAgainIsUsed() {
-    assertEquals(ImmutableList.of(), new ReturningStoreCourse(677694018).play());
+    assertEquals(ImmutableList.of(), new StoreRestoreSimulation(677694018).play());
   }
 
   /** A node that was cut off did not see that an endpoint of the copy was unlisted again. */
   @Test
   void endpointThatTheCopyNamesIsNotUsedByANodeThatIsCutOff() {
-    assertEquals(ImmutableList.of(), new ReturningStoreCourse(-27).play());
+    assertEquals(ImmutableList.of(), new StoreRestoreSimulation(-27).play());
   }
 
   /**
@@ -53,6 +53,6 @@
    */
   @Test
   void entryUnderAFormerLeaseIsWrittenAgainOnceItGoes() {
-    assertEquals(ImmutableList.of(), ReturningStoreCourse.withLateAnswers(7560).play());
+    assertEquals(ImmutableList.of(), StoreRestoreSimulation.withLateAnswers(7560).play());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreReturnTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreTest.java
@@ -9,14 +9,14 @@
 import org.vaneworks.tests.forwarding.Got;
 
 /** Checks that callers see nothing of a store that comes back from an older copy. */
-final class StoreReturnTest {
+final class StoreRestoreTest {
   private static final int NODES = 6;
   private static final int ENGINES = 5;
   private static final int PAUSE_MILLIS = 40;
 
   private final List<Got> answers = new ArrayList<>();
 
-  private void ask(SharedEngines fleet, int millis) {
+  private void ask(SimulatedCluster fleet, int millis) {
     for (int passed = 0; passed < millis; passed += PAUSE_MILLIS) {
       answers.add(fleet.ask(answers.size(), "letter " + answers.size()));
       fleet.advance(PAUSE_MILLIS);
@@ -26,7 +26,7 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 100, 500, 900})
   void requestsAreServedAllTheWhile(int awayMillis) {
-    SharedEngines fleet = new SharedEngines(NODES, ENGINES, awayMillis);
+    SimulatedCluster fleet = new SimulatedCluster(NODES, ENGINES, awayMillis);
     ask(fleet, 1000);
     for (int time = 0; time < 4; time++) {
       fleet.store.takeCopy();
@@ -44,7 +44,7 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 500})
   void requestsAreServedWhereTheCopyNamesNoEngineYet(int awayMillis) {
-    SharedEngines fleet = new SharedEngines(NODES, ENGINES, awayMillis);
+    SimulatedCluster fleet = new SimulatedCluster(NODES, ENGINES, awayMillis);
     fleet.store.copyNothing();
     ask(fleet, 3000);
     fleet.store.down = awayMillis > 0;
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SuspendedBoxTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SuspendedBoxTest.java
@@ -14,7 +14,7 @@
  * before is young, however many seconds have passed in which keys may have been taken away.
  */
 final class SuspendedBoxTest {
-  private final SharedEngines fleet = new SharedEngines(1, 3, 5);
+  private final SimulatedCluster fleet = new SimulatedCluster(1, 3, 5);
 
   private Got askAndWait() {
     Got got = fleet.ask(0, "letter");
