--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/AttemptRecord.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/AttemptRecord.java
@@ -2,84 +2,87 @@
 
 import org.vaneworks.state.HostPort;
 
-/** What became of one sending of a request, as its engine knows it. */
+/** One attempt of a request, and its outcome from the engine's point of view. */
 final class AttemptRecord {
-  /** How it ended. */
-  enum End {
-    /** It goes on, or was not read yet. */
-    NONE,
-    /** The engine answered whole. */
-    WHOLE,
-    /** The engine did not run it. */
-    TURNED_AWAY,
-    /** The engine broke off, or ended; its node may not have been told. */
-    ENGINE_ENDED,
-    /** The engine answered with a failure. */
+  /** The outcome of an attempt. */
+  enum Outcome {
+    /** The engine runs the request, or has not read it yet. */
+    PENDING,
+    /** The engine sent a complete answer. */
+    COMPLETED,
+    /** The engine rejected the request without running it. */
+    REJECTED,
+    /** The engine aborted the request or crashed; the node may not have noticed. */
+    ENGINE_ABORTED,
+    /** The engine answered with a failure status. */
     ENGINE_FAILED,
-    /** The node broke it off, and its engine would have gone on. */
-    LET_GO
+    /** The node cancelled the attempt, which its engine would have continued. */
+    ABANDONED
   }
 
   private final HostPort engine;
   private final long sentAtMillis;
-  private boolean taken;
+  private boolean started;
   private boolean closed;
-  private boolean runOver;
+  private boolean incarnationOver;
   private long closedAtMillis;
-  private End end = End.NONE;
+  private Outcome outcome = Outcome.PENDING;
 
   AttemptRecord(HostPort engine, long sentAtMillis) {
     this.engine = engine;
     this.sentAtMillis = sentAtMillis;
   }
 
-  /** Notes that the engine began to work on it. */
-  void take() {
-    taken = true;
+  /** Records that the engine started the request. */
+  void start() {
+    started = true;
   }
 
-  /** Notes how it ended, unless it had ended before. */
-  void end(End how) {
-    if (end == End.NONE) {
-      end = how;
+  /** Records the outcome, unless there is one already. */
+  void finish(Outcome next) {
+    if (outcome == Outcome.PENDING) {
+      outcome = next;
     }
   }
 
   /**
-   * Notes that the node reads nothing more of it.
+   * Records that the node stopped reading the answer.
    *
-   * @param runIsOver whether the run of the engine's process that it was meant for is over
+   * @param incarnationIsOver whether the incarnation of the engine that it was sent to has ended
    */
-  void close(boolean runIsOver, long atMillis) {
+  void close(boolean incarnationIsOver, long atMillis) {
     if (!closed) {
       closedAtMillis = atMillis;
     }
     closed = true;
-    runOver |= runIsOver;
-    end(End.LET_GO);
+    incarnationOver |= incarnationIsOver;
+    finish(Outcome.ABANDONED);
   }
 
-  /** Returns whether the engine worked on it. */
-  boolean wasTaken() {
-    return taken;
+  /** Returns whether the engine started the request. */
+  boolean wasStarted() {
+    return started;
   }
 
-  /** Returns whether the node reads nothing more of it. */
+  /** Returns whether the node has stopped reading the answer. */
   boolean isClosed() {
-    return closed || end == End.WHOLE || end == End.TURNED_AWAY || end == End.ENGINE_FAILED;
+    return closed
+        || outcome == Outcome.COMPLETED
+        || outcome == Outcome.REJECTED
+        || outcome == Outcome.ENGINE_FAILED;
   }
 
-  /** Returns whether the node read nothing more of it though its engine would have gone on. */
-  boolean wasLetGo() {
-    return closed && end != End.TURNED_AWAY && !wasEndedByEngine();
+  /** Returns whether the node cancelled the attempt although its engine would have continued. */
+  boolean wasAbandoned() {
+    return closed && outcome != Outcome.REJECTED && !wasTerminatedByEngine();
   }
 
-  /** Returns whether the node had sent it by then, and still read of it. */
-  boolean isUnderWayAt(long millis) {
+  /** Returns whether the node had sent the request by a time, and was still reading its answer. */
+  boolean isActiveAt(long millis) {
     return sentAtMillis <= millis && (!closed || closedAtMillis >= millis);
   }
 
-  /** Returns since when the node reads nothing more of it. */
+  /** Returns when the node stopped reading the answer. */
   long closedAtMillis() {
     return closedAtMillis;
   }
@@ -92,13 +95,13 @@
     return sentAtMillis;
   }
 
-  /** Returns whether the engine ended it otherwise than by an answer that is whole. */
-  boolean wasEndedByEngine() {
-    return runOver || end == End.ENGINE_ENDED || end == End.ENGINE_FAILED;
+  /** Returns whether the engine terminated the attempt without a complete answer. */
+  boolean wasTerminatedByEngine() {
+    return incarnationOver || outcome == Outcome.ENGINE_ABORTED || outcome == Outcome.ENGINE_FAILED;
   }
 
-  End end() {
-    return end;
+  Outcome outcome() {
+    return outcome;
   }
 
   @Override
@@ -106,8 +109,8 @@
     return engine
         + " at "
         + sentAtMillis
-        + (taken ? " ran " : " ")
-        + end
-        + (runOver ? " restarted" : "");
+        + (started ? " ran " : " ")
+        + outcome
+        + (incarnationOver ? " restarted" : "");
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/BackoffTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/BackoffTest.java
@@ -12,109 +12,111 @@
 import org.vaneworks.state.Verdict;
 import org.vaneworks.tests.forwarding.Got;
 
-/** Guards against calls to an engine that asked the node for a time without any. */
+/** Guards against calls to an engine during a backoff that it requested. */
 final class BackoffTest {
   private static final int NODES = 8;
   private static final int ENGINES = 3;
-  private static final int FULL = 1;
+  private static final int FULL_ENGINE = 1;
   private static final int BACKOFF_MILLIS = 3000;
-  private static final int A_SECOND = 28;
+  private static final int REQUESTS_PER_SECOND = 28;
 
-  private final SimulatedCluster fleet = new SimulatedCluster(NODES, ENGINES, 7);
-  private int asked;
-  private final List<Got> answers = new ArrayList<>();
+  private final SimulatedCluster cluster = new SimulatedCluster(NODES, ENGINES, 7);
+  private int sentRequests;
+  private final List<Got> responses = new ArrayList<>();
 
-  /** Asks nodes in turn. */
-  private void ask(int seconds) {
-    for (int i = 0; i < seconds * A_SECOND; i++) {
-      answers.add(fleet.ask(asked % NODES, "letter " + asked));
-      asked++;
-      fleet.advance(1000 / A_SECOND);
+  /** Sends requests to the nodes round-robin. */
+  private void sendRequests(int seconds) {
+    for (int i = 0; i < seconds * REQUESTS_PER_SECOND; i++) {
+      responses.add(cluster.sendRequest(sentRequests % NODES, "letter " + sentRequests));
+      sentRequests++;
+      cluster.advance(1000 / REQUESTS_PER_SECOND);
     }
   }
 
   private long refusals() {
-    return answers.stream().filter(got -> got.refusal.isPresent()).count();
+    return responses.stream().filter(response -> response.refusal.isPresent()).count();
   }
 
   @Test
-  void fullEngineGetsNoRequestsOfANodeWhileItWantsNone() {
-    ask(6);
-    fleet.turnsAway(FULL, BACKOFF_MILLIS);
-    ask(9);
-    assertTrue(fleet.backoffsAt(FULL).timesAsked() >= NODES);
-    assertEquals(0, fleet.backoffsAt(FULL).excess(), fleet.callsDuringBackoffs().toString());
+  void fullEngineGetsNoCallsDuringTheBackoff() {
+    sendRequests(6);
+    cluster.rejectCalls(FULL_ENGINE, BACKOFF_MILLIS);
+    sendRequests(9);
+    assertTrue(cluster.backoffsAt(FULL_ENGINE).requestedCount() >= NODES);
+    assertEquals(
+        0, cluster.backoffsAt(FULL_ENGINE).excess(), cluster.callsDuringBackoffs().toString());
   }
 
   @Test
-  void noRequestIsRefusedWhileOtherEnginesHaveRoom() {
-    ask(6);
-    fleet.turnsAway(FULL, BACKOFF_MILLIS);
-    ask(9);
+  void noRequestIsRefusedWhileOtherEnginesHaveCapacity() {
+    sendRequests(6);
+    cluster.rejectCalls(FULL_ENGINE, BACKOFF_MILLIS);
+    sendRequests(9);
     assertEquals(0, refusals());
   }
 
   @Test
-  void engineIsUsedAsBeforeOnceItsTimeIsOver() {
-    ask(6);
-    int before = fleet.backoffsAt(FULL).calls();
-    fleet.turnsAway(FULL, BACKOFF_MILLIS);
-    ask(3);
-    fleet.takesAgain(FULL);
-    ask(BACKOFF_MILLIS / 1000);
-    int from = fleet.backoffsAt(FULL).calls();
-    ask(6);
-    int after = fleet.backoffsAt(FULL).calls() - from;
+  void engineIsUsedAsBeforeOnceItsBackoffIsOver() {
+    sendRequests(6);
+    int before = cluster.backoffsAt(FULL_ENGINE).calls();
+    cluster.rejectCalls(FULL_ENGINE, BACKOFF_MILLIS);
+    sendRequests(3);
+    cluster.acceptCalls(FULL_ENGINE);
+    sendRequests(BACKOFF_MILLIS / 1000);
+    int callsBefore = cluster.backoffsAt(FULL_ENGINE).calls();
+    sendRequests(6);
+    int after = cluster.backoffsAt(FULL_ENGINE).calls() - callsBefore;
     assertTrue(after >= 0.7 * before, after + " calls in 6 s, " + before + " before");
   }
 
   @Test
-  void timeHoldsAlsoIfTheEntryOfTheEngineLapsesMeanwhile() {
-    ask(6);
-    fleet.turnsAway(FULL, BACKOFF_MILLIS);
-    ask(1);
-    fleet.listsItselfAgain(FULL, 300);
-    ask(8);
-    assertEquals(0, fleet.backoffsAt(FULL).excess());
+  void backoffOutlivesTheEntryOfTheEngine() {
+    sendRequests(6);
+    cluster.rejectCalls(FULL_ENGINE, BACKOFF_MILLIS);
+    sendRequests(1);
+    cluster.relistEngine(FULL_ENGINE, 300);
+    sendRequests(8);
+    assertEquals(0, cluster.backoffsAt(FULL_ENGINE).excess());
   }
 
   @Test
-  void streamsThatStandStillBringFewQuestionsToAnEngineThatWantsNoCalls() {
-    ask(6);
-    fleet.standsStill(FULL, BACKOFF_MILLIS);
-    fleet.turnsAway(FULL, BACKOFF_MILLIS);
-    ask(9);
-    assertEquals(0, fleet.backoffsAt(FULL).excess());
+  void stalledStreamsCauseFewStatusCallsDuringTheBackoff() {
+    sendRequests(6);
+    cluster.stallStreams(FULL_ENGINE, BACKOFF_MILLIS);
+    cluster.rejectCalls(FULL_ENGINE, BACKOFF_MILLIS);
+    sendRequests(9);
+    assertEquals(0, cluster.backoffsAt(FULL_ENGINE).excess());
   }
 
   @Test
-  void requestIsRefusedAtOnceWhileAllEnginesWantNoneForLongerThanItsCallerWaits() {
-    ask(2);
+  void requestIsRefusedAtOnceIfAllBackoffsExceedItsTimeout() {
+    sendRequests(2);
     for (int engine = 0; engine < ENGINES; engine++) {
-      fleet.turnsAway(engine, 10_000);
+      cluster.rejectCalls(engine, 10_000);
     }
-    ask(2);
-    Got got = fleet.ask(0, "now");
-    Refusal refusal = got.refusal.orElseThrow();
+    sendRequests(2);
+    Got response = cluster.sendRequest(0, "now");
+    Refusal refusal = response.refusal.orElseThrow();
     assertEquals(Reason.NO_ENDPOINT, refusal.reason());
     assertEquals(Verdict.NOT_RUN, refusal.verdict());
   }
 
   @Test
-  void refusedCallerIsNotAskedBackBeforeAnEngineTakesItsRequest() {
-    ask(2);
+  void retryAfterOfARefusalCoversTheBackoffOfAllEngines() {
+    sendRequests(2);
     for (int engine = 0; engine < ENGINES; engine++) {
-      fleet.turnsAway(engine, 10_000);
+      cluster.rejectCalls(engine, 10_000);
     }
-    ask(2);
-    long refusedAt = fleet.nowMillis();
-    Duration comeBack = fleet.ask(0, "now").refusal.orElseThrow().retryAfter().orElseThrow();
+    sendRequests(2);
+    long refusedAt = cluster.nowMillis();
+    Duration retryAfter =
+        cluster.sendRequest(0, "now").refusal.orElseThrow().retryAfter().orElseThrow();
     for (int engine = 0; engine < ENGINES; engine++) {
-      fleet.takesAgain(engine);
+      cluster.acceptCalls(engine);
     }
-    fleet.advance((int) comeBack.toMillis());
-    Got again = fleet.ask(0, "again");
-    fleet.advance(1000);
-    assertTrue(again.whole, "asked back after " + comeBack + " at " + refusedAt + " ms");
+    cluster.advance((int) retryAfter.toMillis());
+    Got retry = cluster.sendRequest(0, "again");
+    cluster.advance(1000);
+    assertTrue(retry.whole, "retry after " + retryAfter + " from " + refusedAt + " ms");
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestSimulationTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestSimulationTest.java
@@ -10,157 +10,158 @@
 import org.vaneworks.daemon.entry.SimulatedCluster.Arrival;
 
 /**
- * Checks over random courses that a crashing request is held back: nodes are cut off from the
- * store, suspended and started anew, the store goes away and loses answers, meanwhile the request
- * comes again at any node.
+ * Checks in random simulations that a crashing request is quarantined. Nodes are disconnected from
+ * the store, suspended and restarted, the store has outages and loses answers, and the request is
+ * repeated at random nodes.
  */
 final class CrashingRequestSimulationTest {
   private static final int NODES = 4;
   private static final int ENGINES = 20;
-  private static final int TROUBLED_STEPS = 30;
-  private static final int CALM_STEPS = 20;
-  private static final int LONGEST_STEP_MILLIS = 900;
+  private static final int FAULT_STEPS = 30;
+  private static final int QUIET_STEPS = 20;
+  private static final int MAX_STEP_MILLIS = 900;
 
-  /** A node that has had no trouble for so long has to know what the others saw. */
-  private static final int IN_TOUCH_AFTER_MILLIS = 3000;
+  /** A node without faults for this long must know of the crashes that other nodes saw. */
+  private static final int SYNCHRONIZATION_MILLIS = 3000;
 
-  private static final int MOST_LATER = 3;
+  private static final int MAX_LATER_ARRIVALS = 3;
 
-  /** One random course. */
-  private static final class Course {
+  /** One random simulation. */
+  private static final class Simulation {
     private final Random random;
-    private final SimulatedCluster fleet;
-    private final boolean[] cut = new boolean[NODES];
+    private final SimulatedCluster cluster;
+    private final boolean[] disconnected = new boolean[NODES];
 
-    /** Times at which a node was in trouble, or the store was, which is trouble for all. */
-    private final List<List<Long>> troubles = new ArrayList<>();
+    /** Times of faults by node; a fault of the store counts for every node. */
+    private final List<List<Long>> faults = new ArrayList<>();
 
-    /** Whether the store comes back from older copies meanwhile. */
-    private final boolean forgetful;
+    /** Whether the store is restored from backups during the simulation. */
+    private final boolean restoresStore;
 
-    Course(long seed, boolean forgetful) {
-      this.forgetful = forgetful;
+    Simulation(long seed, boolean restoresStore) {
+      this.restoresStore = restoresStore;
       random = new Random(seed);
-      fleet = new SimulatedCluster(NODES, ENGINES, seed);
+      cluster = new SimulatedCluster(NODES, ENGINES, seed);
       for (int node = 0; node < NODES; node++) {
-        troubles.add(new ArrayList<>());
+        faults.add(new ArrayList<>());
       }
     }
 
-    void play() {
-      for (int step = 0; step < TROUBLED_STEPS; step++) {
-        act();
+    void run() {
+      for (int step = 0; step < FAULT_STEPS; step++) {
+        randomAction();
         advance();
       }
-      calm();
-      for (int step = 0; step < CALM_STEPS; step++) {
-        fleet.ask(random.nextInt(NODES), SimulatedCluster.CRASHING);
+      endFaults();
+      for (int step = 0; step < QUIET_STEPS; step++) {
+        cluster.sendRequest(random.nextInt(NODES), SimulatedCluster.CRASHING);
         advance();
       }
     }
 
     private void advance() {
-      noteTroubles();
-      fleet.advance(1 + random.nextInt(LONGEST_STEP_MILLIS));
-      noteTroubles();
+      recordFaults();
+      cluster.advance(1 + random.nextInt(MAX_STEP_MILLIS));
+      recordFaults();
     }
 
-    /** Ends all troubles and waits until every node has to know what the others saw. */
-    private void calm() {
-      fleet.store.down = false;
-      fleet.store.losesAnswers = false;
+    /** Ends all faults and waits until every node must know what the others saw. */
+    private void endFaults() {
+      cluster.store.down = false;
+      cluster.store.losesAnswers = false;
       for (int node = 0; node < NODES; node++) {
-        cut(node, false);
+        setDisconnected(node, false);
       }
-      fleet.advance(IN_TOUCH_AFTER_MILLIS);
+      cluster.advance(SYNCHRONIZATION_MILLIS);
     }
 
-    private void forget() {
+    private void backUpOrRestore() {
       switch (random.nextInt(12)) {
-        case 0, 1 -> fleet.store.takeCopy();
-        case 2 -> fleet.storeComesBack();
+        case 0, 1 -> cluster.store.takeCopy();
+        case 2 -> cluster.restoreStore();
         default -> {}
       }
     }
 
-    private void act() {
-      if (forgetful) {
-        forget();
+    private void randomAction() {
+      if (restoresStore) {
+        backUpOrRestore();
       }
       int node = random.nextInt(NODES);
       switch (random.nextInt(14)) {
-        case 0 -> cut(node, true);
-        case 1, 2 -> cut(node, false);
-        case 3 -> fleet.store.down = true;
-        case 4, 5 -> fleet.store.down = false;
-        case 6 -> fleet.store.losesAnswers = true;
-        case 7 -> fleet.store.losesAnswers = false;
+        case 0 -> setDisconnected(node, true);
+        case 1, 2 -> setDisconnected(node, false);
+        case 3 -> cluster.store.down = true;
+        case 4, 5 -> cluster.store.down = false;
+        case 6 -> cluster.store.losesAnswers = true;
+        case 7 -> cluster.store.losesAnswers = false;
         case 8 -> suspend(node);
         case 9 -> restart(node);
-        case 10 -> fleet.ask(node, "letter " + random.nextInt());
-        default -> fleet.ask(node, SimulatedCluster.CRASHING);
+        case 10 -> cluster.sendRequest(node, "letter " + random.nextInt());
+        default -> cluster.sendRequest(node, SimulatedCluster.CRASHING);
       }
     }
 
-    private void cut(int node, boolean value) {
-      cut[node] = value;
-      fleet.cutFromStore(node, value);
+    private void setDisconnected(int node, boolean value) {
+      disconnected[node] = value;
+      cluster.setStoreDisconnected(node, value);
     }
 
     private void suspend(int node) {
-      fleet.timeOfDayMoves(node, 500 + random.nextInt(5000));
-      troubles.get(node).add(fleet.nowMillis());
+      cluster.stepTimeOfDay(node, 500 + random.nextInt(5000));
+      faults.get(node).add(cluster.nowMillis());
     }
 
     private void restart(int node) {
-      // A node that could not tell what it saw takes it along.
-      if (cut[node] || fleet.store.down || fleet.store.losesAnswers) {
+      // A node that can't write to the store would lose the crashes that it saw.
+      if (disconnected[node] || cluster.store.down || cluster.store.losesAnswers) {
         return;
       }
-      fleet.restartNode(node);
-      troubles.get(node).add(fleet.nowMillis());
+      cluster.restartNode(node);
+      faults.get(node).add(cluster.nowMillis());
     }
 
-    private void noteTroubles() {
+    private void recordFaults() {
       for (int node = 0; node < NODES; node++) {
-        if (cut[node] || fleet.store.down || fleet.store.losesAnswers) {
-          troubles.get(node).add(fleet.nowMillis());
+        if (disconnected[node] || cluster.store.down || cluster.store.losesAnswers) {
+          faults.get(node).add(cluster.nowMillis());
         }
       }
     }
 
-    private boolean inTouch(Arrival arrival) {
-      return troubles.get(arrival.node()).stream()
+    private boolean wasSynchronized(Arrival arrival) {
+      return faults.get(arrival.node()).stream()
           .noneMatch(
-              at -> at <= arrival.atMillis() && at > arrival.atMillis() - IN_TOUCH_AFTER_MILLIS);
+              at -> at <= arrival.atMillis() && at > arrival.atMillis() - SYNCHRONIZATION_MILLIS);
     }
 
-    /** Returns what reached engines from nodes in touch after three had ended. */
-    List<Arrival> later() {
-      if (fleet.ends().size() < 3) {
+    /** Returns arrivals after the third crash that came from nodes which had to know of it. */
+    List<Arrival> laterArrivals() {
+      if (cluster.crashTimes().size() < 3) {
         return List.of();
       }
-      long known = fleet.ends().get(2) + IN_TOUCH_AFTER_MILLIS;
-      return fleet.crashingArrivals().stream()
-          .filter(arrival -> arrival.atMillis() > known)
-          .filter(this::inTouch)
+      long knownAt = cluster.crashTimes().get(2) + SYNCHRONIZATION_MILLIS;
+      return cluster.crashingArrivals().stream()
+          .filter(arrival -> arrival.atMillis() > knownAt)
+          .filter(this::wasSynchronized)
           .toList();
     }
   }
 
   @Property(tries = 200, seed = "20261203")
-  void crashingRequestIsHeldBackWhateverHappensMeanwhile(@ForAll long seed) {
-    assertHeldBack(new Course(seed, false));
+  void crashingRequestIsQuarantinedDespiteFaults(@ForAll long seed) {
+    assertQuarantined(new Simulation(seed, false));
   }
 
   @Property(tries = 200, seed = "20261203")
-  void sameBeforeAStoreThatComesBackFromOlderCopies(@ForAll long seed) {
-    assertHeldBack(new Course(seed, true));
+  void crashingRequestIsQuarantinedDespiteRestoresOfTheStore(@ForAll long seed) {
+    assertQuarantined(new Simulation(seed, true));
   }
 
-  private static void assertHeldBack(Course course) {
-    course.play();
-    List<Arrival> later = course.later();
-    assertTrue(later.size() <= MOST_LATER, later + ", ends " + course.fleet.ends());
+  private static void assertQuarantined(Simulation simulation) {
+    simulation.run();
+    List<Arrival> later = simulation.laterArrivals();
+    assertTrue(
+        later.size() <= MAX_LATER_ARRIVALS, later + ", crashes " + simulation.cluster.crashTimes());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EndpointListSimulation.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EndpointListSimulation.java
@@ -8,52 +8,58 @@
 import org.vaneworks.tests.Schedules;
 
 /**
- * One random course of a minute: endpoints renew their entries, come and leave; the store is away
- * for all, or one node is cut off from it; both also overlap. Judges which endpoints that node
- * gives new work to.
+ * One random simulation of a minute, which checks to which endpoints a node sends new work.
+ *
+ * <p>Endpoints renew their entries, join and leave. The store has outages, the node is disconnected
+ * from it, and both may overlap.
  */
 final class EndpointListSimulation {
   private static final int STEPS = 600;
   private static final int STEP_MILLIS = 100;
 
-  /** Endpoints renew their entries this often; an entry lapses after three silent renewals. */
+  /** The interval of renewals; an entry expires after three missed renewals. */
   private static final int RENEWAL_MILLIS = 1200;
 
-  private static final int LAPSE_MILLIS = 3 * RENEWAL_MILLIS;
+  private static final int EXPIRY_MILLIS = 3 * RENEWAL_MILLIS;
 
-  /** An endpoint that has left gets no new work this long after it, or after the last fault. */
-  private static final int LEAVING_BOUND_MILLIS = 2000;
+  /**
+   * An endpoint that has left must get no new work this long after that, or after the last fault.
+   */
+  private static final int LEAVE_DETECTION_MILLIS = 2000;
 
-  /** A node counts as connected this long after the last fault. */
-  private static final int CONNECTED_MILLIS = 3000;
+  /** The node must know of all changes this long after the last fault. */
+  private static final int RECONNECT_MILLIS = 3000;
 
-  /** The same if the node was cut off and the store was there for all others: a view is enough. */
-  private static final int VIEW_MILLIS = 2000;
+  /** As above if only the node was disconnected, so that a single read of the store is enough. */
+  private static final int RECONNECT_WITHOUT_OUTAGE_MILLIS = 2000;
 
-  /** All that live are back in use this long after the last fault. */
-  private static final int BACK_MILLIS = 3500;
+  /** All live endpoints must be in use this long after the last fault. */
+  private static final int RECOVERY_MILLIS = 3500;
 
-  /** Between these, some entries have lapsed and others not: no promise for those in between. */
-  private static final int SOME_LAPSED_FROM_MILLIS = LAPSE_MILLIS - RENEWAL_MILLIS;
+  /**
+   * From this length of an outage until the next constant, some entries have expired and others
+   * have not; there is no guarantee for outages in between.
+   */
+  private static final int SOME_EXPIRED_FROM_MILLIS = EXPIRY_MILLIS - RENEWAL_MILLIS;
 
-  private static final int ALL_LAPSED_FROM_MILLIS = LAPSE_MILLIS + 2 * RENEWAL_MILLIS;
+  private static final int ALL_EXPIRED_FROM_MILLIS = EXPIRY_MILLIS + 2 * RENEWAL_MILLIS;
 
-  private static final int MOST_ENDPOINTS = 8;
+  private static final int MAX_ENDPOINTS = 8;
   private static final double FAULT_CHANCE = 0.015;
   private static final double LEAVE_CHANCE = 0.01;
   private static final double JOIN_CHANCE = 0.01;
 
   private static final class Endpoint {
     final String id;
-    final long bornAt;
+    final long createdAt;
     long renewsAt;
     long renewedAt;
     boolean left;
     long leftAt = Long.MAX_VALUE;
 
-    Endpoint(String id, long bornAt) {
+    Endpoint(String id, long createdAt) {
       this.id = id;
-      this.bornAt = bornAt;
+      this.createdAt = createdAt;
     }
   }
 
@@ -61,14 +67,14 @@
   private final FleetWatchFixture node;
   private final List<Endpoint> endpoints = new ArrayList<>();
   private final List<String> problems = new ArrayList<>();
-  private boolean lapses;
+  private boolean entriesExpire;
   private long outageFrom = -1;
   private long outageUntil = -1;
-  private long cutFrom = -1;
-  private long cutUntil = -1;
-  private long calmBeforeOutage;
-  private long calmBeforeCut;
-  private int cuts;
+  private long disconnectedFrom = -1;
+  private long disconnectedUntil = -1;
+  private long quietBeforeOutage;
+  private long quietBeforeDisconnect;
+  private int disconnects;
   private int outages;
   private int left;
 
@@ -78,45 +84,51 @@
   }
 
   static Schedules.Result run(long seed) {
-    EndpointListSimulation schedule = new EndpointListSimulation(seed);
-    schedule.play();
+    EndpointListSimulation simulation = new EndpointListSimulation(seed);
+    simulation.run();
     return new Schedules.Result(
-        ImmutableList.copyOf(schedule.problems),
-        ImmutableMap.of("cuts", schedule.cuts, "outages", schedule.outages, "left", schedule.left));
+        ImmutableList.copyOf(simulation.problems),
+        ImmutableMap.of(
+            "disconnects",
+            simulation.disconnects,
+            "outages",
+            simulation.outages,
+            "left",
+            simulation.left));
   }
 
-  private void play() {
+  private void run() {
     for (int i = 0; i < 3; i++) {
       join();
     }
     node.follower.start();
-    node.advance(CONNECTED_MILLIS);
+    node.advance(RECONNECT_MILLIS);
     for (int step = 0; step < STEPS && problems.isEmpty(); step++) {
       beginFaults();
       endFaults();
-      comeAndGo();
-      renewAndLapse();
+      changeEndpoints();
+      renewAndExpire();
       node.advance(STEP_MILLIS);
-      judge();
+      checkUsable();
     }
   }
 
   private void beginFaults() {
     long now = node.nowMillis();
-    long calm = now - Math.max(outageUntil, cutUntil);
+    long quiet = now - Math.max(outageUntil, disconnectedUntil);
     if (now >= outageUntil && random.nextDouble() < FAULT_CHANCE) {
       outages++;
       outageFrom = now;
-      calmBeforeOutage = calm;
+      quietBeforeOutage = quiet;
       outageUntil = now + 500 + random.nextInt(9000);
-      lapses = random.nextBoolean();
+      entriesExpire = random.nextBoolean();
       node.store.down = true;
     }
-    if (now >= cutUntil && random.nextDouble() < FAULT_CHANCE) {
-      cuts++;
-      cutFrom = now;
-      calmBeforeCut = calm;
-      cutUntil = now + 500 + random.nextInt(12_000);
+    if (now >= disconnectedUntil && random.nextDouble() < FAULT_CHANCE) {
+      disconnects++;
+      disconnectedFrom = now;
+      quietBeforeDisconnect = quiet;
+      disconnectedUntil = now + 500 + random.nextInt(12_000);
       node.link.cut(true);
     }
   }
@@ -124,33 +136,33 @@
   private void endFaults() {
     long now = node.nowMillis();
     node.store.down = now < outageUntil;
-    node.link.cut(now < cutUntil);
+    node.link.cut(now < disconnectedUntil);
   }
 
-  private void comeAndGo() {
+  private void changeEndpoints() {
     List<Endpoint> living = endpoints.stream().filter(endpoint -> !endpoint.left).toList();
     if (living.size() > 2 && random.nextDouble() < LEAVE_CHANCE) {
       living.get(random.nextInt(living.size())).left = true;
       left++;
     }
-    if (living.size() < MOST_ENDPOINTS && random.nextDouble() < JOIN_CHANCE) {
+    if (living.size() < MAX_ENDPOINTS && random.nextDouble() < JOIN_CHANCE) {
       join();
     }
   }
 
   private void join() {
     Endpoint endpoint = new Endpoint("e" + endpoints.size(), node.nowMillis());
-    endpoint.renewsAt = endpoint.bornAt;
+    endpoint.renewsAt = endpoint.createdAt;
     endpoints.add(endpoint);
-    renewAndLapse();
+    renewAndExpire();
   }
 
-  private void renewAndLapse() {
+  private void renewAndExpire() {
     long now = node.nowMillis();
     for (Endpoint endpoint : endpoints) {
       boolean listed = node.isListed(endpoint.id);
       if (endpoint.left) {
-        if (listed && (!node.store.down || lapsed(endpoint, now))) {
+        if (listed && (!node.store.down || isExpired(endpoint, now))) {
           node.unlist(endpoint.id);
         }
         if (endpoint.leftAt == Long.MAX_VALUE && !node.isListed(endpoint.id)) {
@@ -158,7 +170,7 @@
         }
       } else if (now >= endpoint.renewsAt) {
         renew(endpoint, now);
-      } else if (listed && node.store.down && lapsed(endpoint, now)) {
+      } else if (listed && node.store.down && isExpired(endpoint, now)) {
         node.unlist(endpoint.id);
       }
     }
@@ -175,56 +187,62 @@
     }
   }
 
-  private boolean lapsed(Endpoint endpoint, long now) {
-    return lapses && now - endpoint.renewedAt >= LAPSE_MILLIS;
+  private boolean isExpired(Endpoint endpoint, long now) {
+    return entriesExpire && now - endpoint.renewedAt >= EXPIRY_MILLIS;
   }
 
-  private void judge() {
+  private void checkUsable() {
     long now = node.nowMillis();
-    long calm = now - Math.max(outageUntil, cutUntil);
+    long quiet = now - Math.max(outageUntil, disconnectedUntil);
     for (Endpoint endpoint : endpoints) {
       boolean used = node.usable().contains(endpoint.id);
-      boolean wasToldLongAgo =
+      boolean leftLongAgo =
           endpoint.left
               && endpoint.leftAt != Long.MAX_VALUE
-              && now - endpoint.leftAt > LEAVING_BOUND_MILLIS;
-      if (used && wasToldLongAgo && calm > (onlyCut() ? VIEW_MILLIS : CONNECTED_MILLIS)) {
-        problems.add(endpoint.id + " left and is in use at " + now);
+              && now - endpoint.leftAt > LEAVE_DETECTION_MILLIS;
+      if (used
+          && leftLongAgo
+          && quiet > (onlyDisconnected() ? RECONNECT_WITHOUT_OUTAGE_MILLIS : RECONNECT_MILLIS)) {
+        problems.add(endpoint.id + " left but is in use at " + now);
       }
-      boolean wasThere = !endpoint.left && now - endpoint.bornAt > BACK_MILLIS;
-      if (!used && wasThere && calm > BACK_MILLIS) {
-        problems.add(endpoint.id + " lives and is not in use at " + now);
+      boolean joinedLongAgo = !endpoint.left && now - endpoint.createdAt > RECOVERY_MILLIS;
+      if (!used && joinedLongAgo && quiet > RECOVERY_MILLIS) {
+        problems.add(endpoint.id + " is live but not in use at " + now);
       }
       if (!used
           && !endpoint.left
-          && endpoint.bornAt < outageFrom - BACK_MILLIS
+          && endpoint.createdAt < outageFrom - RECOVERY_MILLIS
           && onlyOutage(now)) {
-        problems.add(endpoint.id + " lapsed in an outage and is not in use at " + now);
+        problems.add(endpoint.id + " expired in an outage and is not in use at " + now);
       }
     }
   }
 
   /**
-   * Returns whether the node's silence was the latest cut alone and an entry outlived it. If all
-   * that it knew have left, or if an outage came into it, the node can't know before the longer
-   * bound is over.
+   * Returns whether the latest fault was only a disconnect of the node, and some entry outlived it.
+   * If all endpoints that the node knew have left, or an outage overlapped, the node can't tell the
+   * two faults apart, and only the longer bound holds.
    */
-  private boolean onlyCut() {
-    boolean oneOutlivedIt =
+  private boolean onlyDisconnected() {
+    boolean someEntrySurvived =
         endpoints.stream()
-            .anyMatch(endpoint -> !endpoint.left && endpoint.bornAt < cutFrom - BACK_MILLIS);
-    return cutFrom > outageUntil && calmBeforeCut > BACK_MILLIS && oneOutlivedIt;
+            .anyMatch(
+                endpoint ->
+                    !endpoint.left && endpoint.createdAt < disconnectedFrom - RECOVERY_MILLIS);
+    return disconnectedFrom > outageUntil
+        && quietBeforeDisconnect > RECOVERY_MILLIS
+        && someEntrySurvived;
   }
 
-  /** Returns whether the latest fault was an outage alone, in which all entries or none lapsed. */
+  /** Returns whether the latest fault was only an outage, in which all entries or none expired. */
   private boolean onlyOutage(long now) {
-    long lasted = Math.min(now, outageUntil) - outageFrom;
+    long duration = Math.min(now, outageUntil) - outageFrom;
     boolean allOrNone =
-        !lapses
-            || lasted < SOME_LAPSED_FROM_MILLIS
-            || outageUntil - outageFrom > ALL_LAPSED_FROM_MILLIS;
-    return outageFrom > cutUntil + ALL_LAPSED_FROM_MILLIS
-        && calmBeforeOutage > ALL_LAPSED_FROM_MILLIS
+        !entriesExpire
+            || duration < SOME_EXPIRED_FROM_MILLIS
+            || outageUntil - outageFrom > ALL_EXPIRED_FROM_MILLIS;
+    return outageFrom > disconnectedUntil + ALL_EXPIRED_FROM_MILLIS
+        && quietBeforeOutage > ALL_EXPIRED_FROM_MILLIS
         && allOrNone;
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EndpointListSimulationTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EndpointListSimulationTest.java
@@ -11,30 +11,32 @@
 import net.jqwik.api.lifecycle.AfterContainer;
 import org.vaneworks.tests.Schedules;
 
-/** Runs random courses of cuts, outages, lapsed entries and leavings. */
+/** Runs random simulations with disconnects, outages, expired entries and leaving endpoints. */
 final class EndpointListSimulationTest {
-  private static final Schedules SCHEDULES = new Schedules("listing");
+  private static final Schedules SIMULATIONS = new Schedules("listing");
 
   @Property(
       tries = Schedules.TRIES,
       seed = Schedules.SEED,
       shrinking = ShrinkingMode.OFF,
       afterFailure = AfterFailureMode.PREVIOUS_SEED)
-  void endpointsInUseAreThoseThatLive(@ForAll long seed) {
-    SCHEDULES.run(seed, EndpointListSimulation::run);
+  void exactlyTheLiveEndpointsAreInUse(@ForAll long seed) {
+    SIMULATIONS.run(seed, EndpointListSimulation::run);
   }
 
   /**
-   * An outage and two cuts follow each other without a view in between, and all endpoints that the
-   * node knew leave meanwhile: nothing outlived the silence, so only the longer bound holds.
+   * An outage and two disconnects follow each other without a read of the store in between, and all
+   * endpoints that the node knew leave meanwhile. No entry outlives the faults, so only the longer
+   * bound holds.
    */
   @Example
-  void courseInWhichAllKnownEndpointsLeaveDuringOneSilence() {
-    assertEquals(ImmutableList.of(), EndpointListSimulation.run(-691_308_409_820_403_680L).problems());
+  void allKnownEndpointsLeaveWhileTheNodeIsDisconnected() {
+    assertEquals(
+        ImmutableList.of(), EndpointListSimulation.run(-691_308_409_820_403_680L).problems());
   }
 
   @AfterContainer
   static void report() {
-    SCHEDULES.report();
+    SIMULATIONS.report();
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EndpointListWatchTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EndpointListWatchTest.java
@@ -18,7 +18,7 @@
 import org.vaneworks.telemetry.Metric;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Checks what entries of other writers do to the list. */
+/** Checks how readable and unreadable entries change the endpoints in use. */
 final class EndpointListWatchTest {
   private static final String PREFIX = "servers/";
 
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void unreadableEntryOfAKnownIdNamesNoEndpointAndTheOthersHold() {
+  void unreadableEntryRemovesOnlyItsOwnEndpoint() {
     change("a", "ready");
     change("b", "ready");
     change("a", "????");
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void endpointIsUsedAgainOnceItListsItselfAgain() {
+  void endpointIsUsedAgainOnceItsEntryIsReadable() {
     change("a", "ready");
     change("a", "????");
     change("a", "ready");
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void unreadableEntryInAWholeListLeavesTheOthers() {
+  void unreadableEntryInAFullReadDoesNotAffectOthers() {
     watch.replace(ImmutableList.of(item("a", "????"), item("b", "ready")));
     watch.upToDate();
     assertEquals(ImmutableSet.of("b"), usable());
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineArrivals.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineArrivals.java
@@ -7,112 +7,115 @@
 import org.vaneworks.state.StatedLimit;
 
 /**
- * The requests that reached one engine, and which nodes were told how many it takes.
+ * The requests that arrived at one engine, checked against the rate limit that it advertises.
  *
- * <p>What the engine is promised: from {@link #LEARNT_AFTER_MILLIS} after it first named its limit
- * on, at most one and a half times what that allows in any four seconds, and five requests more,
- * from nodes that have passed on an answer with its limit half a second before or earlier.
+ * <p>The guarantee: from {@link #PROPAGATION_MILLIS} after the engine first advertised a limit, it
+ * gets in any four seconds at most one and a half times what the limit allows, plus five requests.
+ * Only requests of nodes count that passed on an answer with a limit at least half a second before.
  */
 final class EngineArrivals {
-  private static final int LEARNT_AFTER_MILLIS = 3000;
+  private static final int PROPAGATION_MILLIS = 3000;
   private static final int WINDOW_MILLIS = 4000;
-  private static final int TOLD_BEFORE_MILLIS = 500;
-  private static final double MOST_TIMES_LIMIT = 1.5;
-  private static final int SLACK = 5;
+  private static final int NODE_REACTION_MILLIS = 500;
+  private static final double MAX_LIMIT_FACTOR = 1.5;
+  private static final int EXTRA_REQUESTS = 5;
   private static final int STEP_MILLIS = 100;
 
-  private record Arrival(long atMillis, boolean fromNodeThatWasTold) {}
+  private record Arrival(long atMillis, boolean senderKnewLimit) {}
 
-  /** What the engine says from some time on. */
-  private record Statement(long fromMillis, StatedLimit limit) {}
+  /** A limit that the engine advertises from some time on. */
+  private record AdvertisedLimit(long fromMillis, StatedLimit limit) {}
 
   private final List<Arrival> arrivals = new ArrayList<>();
-  private final List<Statement> statements =
-      new ArrayList<>(List.of(new Statement(0, StatedLimit.none())));
-  private final Map<Integer, Long> toldAt = new HashMap<>();
+  private final List<AdvertisedLimit> advertised =
+      new ArrayList<>(List.of(new AdvertisedLimit(0, StatedLimit.none())));
+  private final Map<Integer, Long> informedAt = new HashMap<>();
 
   StatedLimit limit() {
-    return statements.get(statements.size() - 1).limit();
+    return advertised.get(advertised.size() - 1).limit();
   }
 
-  /** Names a limit from now on, or none any more. */
-  void limit(StatedLimit stated, long atMillis) {
-    if (!stated.isLimited()) {
-      toldAt.clear();
+  /** Sets the limit that the engine advertises from a time on. */
+  void advertise(StatedLimit next, long atMillis) {
+    if (!next.isLimited()) {
+      informedAt.clear();
     }
-    statements.add(new Statement(atMillis, stated));
+    advertised.add(new AdvertisedLimit(atMillis, next));
   }
 
-  /** Notes that a request came from a node. */
+  /** Records a request from a node. */
   void arrived(int node, long atMillis) {
-    Long told = toldAt.get(node);
-    arrivals.add(new Arrival(atMillis, told != null && told + TOLD_BEFORE_MILLIS <= atMillis));
+    Long informed = informedAt.get(node);
+    arrivals.add(
+        new Arrival(atMillis, informed != null && informed + NODE_REACTION_MILLIS <= atMillis));
   }
 
-  /** Notes that a node passed an answer on. */
+  /** Records that a node passed on an answer of the engine. */
   void answered(int node, long atMillis) {
     if (limit().isLimited()) {
-      toldAt.putIfAbsent(node, atMillis);
+      informedAt.putIfAbsent(node, atMillis);
     }
   }
 
-  /** Notes that a node started again: it knows nothing, and is excused until it is told. */
+  /** Records a restart of a node, which is exempt until it gets an answer with a limit again. */
   void nodeStarted(int node) {
-    toldAt.remove(node);
+    informedAt.remove(node);
   }
 
-  /** Returns the requests that came from that time on, before another. */
+  /** Returns the number of requests that arrived between two times, the second one exclusive. */
   long between(long fromMillis, long toMillis) {
     return arrivals.stream()
         .filter(arrival -> arrival.atMillis() >= fromMillis && arrival.atMillis() < toMillis)
         .count();
   }
 
-  /** Returns how many requests were too many in the worst four seconds up to now; 0 if none. */
+  /** Returns by how much the guarantee was exceeded in the worst window up to now; 0 if never. */
   long excess(long nowMillis) {
     long worst = 0;
     for (long end = 0; end <= nowMillis; end += STEP_MILLIS) {
-      if (isLearnt(end)) {
-        worst = Math.max(worst, counted(end) - allowed(end));
+      if (hasPropagated(end)) {
+        worst = Math.max(worst, countInWindow(end) - allowedInWindow(end));
       }
     }
     return worst;
   }
 
-  /** Returns whether a limit was in force all the time in which nodes could learn of it. */
-  private boolean isLearnt(long end) {
-    return inForce(end - LEARNT_AFTER_MILLIS, end).stream()
-        .allMatch(stated -> stated.limit().isLimited());
+  /** Returns whether some limit was advertised for the whole propagation time before a time. */
+  private boolean hasPropagated(long end) {
+    return inForce(end - PROPAGATION_MILLIS, end).stream()
+        .allMatch(entry -> entry.limit().isLimited());
   }
 
-  /** Returns the statements that counted at any moment after the first time, up to the second. */
-  private List<Statement> inForce(long from, long to) {
-    List<Statement> found = new ArrayList<>();
-    for (int i = 0; i < statements.size(); i++) {
-      boolean begun = statements.get(i).fromMillis() <= to;
-      boolean over = i + 1 < statements.size() && statements.get(i + 1).fromMillis() <= from;
-      if (begun && !over) {
-        found.add(statements.get(i));
+  /** Returns the limits that were advertised at any time after the first and up to the second. */
+  private List<AdvertisedLimit> inForce(long from, long to) {
+    List<AdvertisedLimit> found = new ArrayList<>();
+    for (int i = 0; i < advertised.size(); i++) {
+      boolean started = advertised.get(i).fromMillis() <= to;
+      boolean superseded = i + 1 < advertised.size() && advertised.get(i + 1).fromMillis() <= from;
+      if (started && !superseded) {
+        found.add(advertised.get(i));
       }
     }
     return found;
   }
 
-  private long counted(long end) {
+  private long countInWindow(long end) {
     return arrivals.stream()
         .filter(arrival -> arrival.atMillis() > end - WINDOW_MILLIS && arrival.atMillis() <= end)
-        .filter(Arrival::fromNodeThatWasTold)
+        .filter(Arrival::senderKnewLimit)
         .count();
   }
 
-  /** By the largest limit of those that nodes may still have: a new one takes as long to learn. */
-  private long allowed(long end) {
+  /**
+   * Returns the allowance by the largest limit that nodes may use; a change takes time to spread.
+   */
+  private long allowedInWindow(long end) {
     double perSecond =
-        inForce(end - WINDOW_MILLIS - LEARNT_AFTER_MILLIS, end).stream()
-            .filter(stated -> stated.limit().isLimited())
-            .mapToDouble(stated -> stated.limit().perSecond())
+        inForce(end - WINDOW_MILLIS - PROPAGATION_MILLIS, end).stream()
+            .filter(entry -> entry.limit().isLimited())
+            .mapToDouble(entry -> entry.limit().perSecond())
             .max()
             .orElse(0);
-    return (long) (MOST_TIMES_LIMIT * perSecond * WINDOW_MILLIS / 1000) + SLACK;
+    return (long) (MAX_LIMIT_FACTOR * perSecond * WINDOW_MILLIS / 1000) + EXTRA_REQUESTS;
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineBackoffs.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineBackoffs.java
@@ -4,74 +4,74 @@
 import java.util.List;
 
 /**
- * The calls that reached one engine, and which nodes it asked for none.
+ * The calls that arrived at one engine, checked against the backoffs that it requested of nodes.
  *
- * <p>What the engine is promised: at most {@link #MOST_CALLS} calls of a node from {@link
- * #LEARNT_AFTER_MILLIS} after it asked that node until the end of the time that it asked for. A
- * node that starts again meanwhile is excused.
+ * <p>The guarantee: from {@link #NODE_REACTION_MILLIS} after the engine requested a backoff of a
+ * node until the end of the backoff, it gets at most {@link #MAX_CALLS} calls of that node. A node
+ * that restarts meanwhile is exempt.
  */
 final class EngineBackoffs {
-  private static final int LEARNT_AFTER_MILLIS = 500;
-  private static final int MOST_CALLS = 2;
+  private static final int NODE_REACTION_MILLIS = 500;
+  private static final int MAX_CALLS = 2;
 
-  /** A time that the engine asked a node for, and the calls that it got in it all the same. */
-  private static final class Asked {
+  /** A backoff that the engine requested of a node, and the calls that it got during it. */
+  private static final class NodeBackoff {
     private final int node;
     private final long fromMillis;
     private final long toMillis;
     private int calls;
-    private boolean excused;
+    private boolean exempt;
 
-    Asked(int node, long fromMillis, long toMillis) {
+    NodeBackoff(int node, long fromMillis, long toMillis) {
       this.node = node;
       this.fromMillis = fromMillis;
       this.toMillis = toMillis;
     }
 
-    void called(int caller, long atMillis) {
+    void recordCall(int caller, long atMillis) {
       if (caller == node && atMillis > fromMillis && atMillis < toMillis) {
         calls++;
       }
     }
 
     int excess() {
-      return excused ? 0 : Math.max(0, calls - MOST_CALLS);
+      return exempt ? 0 : Math.max(0, calls - MAX_CALLS);
     }
   }
 
-  private final List<Asked> all = new ArrayList<>();
+  private final List<NodeBackoff> backoffs = new ArrayList<>();
   private int calls;
 
-  /** Notes that the engine turned a call of a node away and asked for no more. */
-  void asked(int node, long atMillis, int lengthMillis) {
-    all.add(new Asked(node, atMillis + LEARNT_AFTER_MILLIS, atMillis + lengthMillis));
+  /** Records that the engine rejected a call of a node with a backoff. */
+  void requestBackoff(int node, long atMillis, int lengthMillis) {
+    backoffs.add(new NodeBackoff(node, atMillis + NODE_REACTION_MILLIS, atMillis + lengthMillis));
   }
 
-  /** Notes a request, a question or an order of a node. */
-  void called(int node, long atMillis) {
+  /** Records a request, a status call or an order of a node. */
+  void recordCall(int node, long atMillis) {
     calls++;
-    all.forEach(asked -> asked.called(node, atMillis));
+    backoffs.forEach(backoff -> backoff.recordCall(node, atMillis));
   }
 
-  /** Notes that a node started again: it knows nothing of what it was asked. */
+  /** Records a restart of a node, which no longer knows of backoffs requested before. */
   void nodeStarted(int node, long atMillis) {
-    all.stream()
-        .filter(asked -> asked.node == node && atMillis < asked.toMillis)
-        .forEach(asked -> asked.excused = true);
+    backoffs.stream()
+        .filter(backoff -> backoff.node == node && atMillis < backoff.toMillis)
+        .forEach(backoff -> backoff.exempt = true);
   }
 
-  /** Returns how often the engine asked for a time without calls. */
-  int timesAsked() {
-    return all.size();
+  /** Returns how many backoffs the engine has requested. */
+  int requestedCount() {
+    return backoffs.size();
   }
 
-  /** Returns the calls that reached the engine. */
+  /** Returns the number of calls that arrived at the engine. */
   int calls() {
     return calls;
   }
 
-  /** Returns how many calls were too many in the worst of these times; 0 if none. */
+  /** Returns by how much the guarantee was exceeded in the worst backoff; 0 if never. */
   int excess() {
-    return all.stream().mapToInt(Asked::excess).max().orElse(0);
+    return backoffs.stream().mapToInt(NodeBackoff::excess).max().orElse(0);
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineDrain.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineDrain.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /**
- * The requests that reached one engine from nodes that it had told that it leaves.
+ * Counts requests that arrived at a leaving engine from nodes that knew that it leaves.
  *
- * <p>A node that starts again knows nothing of that until it is told once more.
+ * <p>A node that restarts does not know until it gets an answer that says so again.
  */
 final class EngineDrain {
-  /** What a node sent before it was told is there by then. */
-  private static final int ON_THE_WAY_MILLIS = 5;
+  /** Requests that were sent before the node knew arrive within this time. */
+  private static final int NETWORK_DELAY_MILLIS = 5;
 
-  private final Map<Integer, Long> toldAt = new HashMap<>();
+  private final Map<Integer, Long> informedAt = new HashMap<>();
   private boolean leaving;
-  private int late;
+  private int lateArrivals;
 
-  /** The engine says from now on that it leaves. */
-  void leaves() {
+  /** Makes the engine announce in its answers that it leaves. */
+  void announceLeaving() {
     leaving = true;
   }
 
@@ -25,25 +25,25 @@
     return leaving;
   }
 
-  /** Notes that a node passed an answer on that said so. */
+  /** Records that a node passed on an answer that announced it. */
   void answered(int node, long atMillis) {
-    toldAt.putIfAbsent(node, atMillis);
+    informedAt.putIfAbsent(node, atMillis);
   }
 
-  /** Notes that a request came from a node. */
+  /** Records a request from a node. */
   void arrived(int node, long atMillis) {
-    Long told = toldAt.get(node);
-    if (told != null && atMillis > told + ON_THE_WAY_MILLIS) {
-      late++;
+    Long informed = informedAt.get(node);
+    if (informed != null && atMillis > informed + NETWORK_DELAY_MILLIS) {
+      lateArrivals++;
     }
   }
 
   void nodeStarted(int node) {
-    toldAt.remove(node);
+    informedAt.remove(node);
   }
 
-  /** Returns the requests from nodes that had been told. */
-  int late() {
-    return late;
+  /** Returns the number of requests from nodes that knew that the engine leaves. */
+  int lateArrivals() {
+    return lateArrivals;
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/FleetWatchFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/FleetWatchFixture.java
@@ -17,7 +17,7 @@
 import org.vaneworks.tests.shared.StoreInMemory;
 import org.vaneworks.tests.shared.StoreLink;
 
-/** One node's table of endpoints, kept by its follower of the store, under a paused clock. */
+/** One node's fleet, which follows the endpoint list in a store, under a paused clock. */
 final class FleetWatchFixture {
   private static final String PREFIX = "servers/";
   private static final String SERVICE = "records";
@@ -39,13 +39,13 @@
             PREFIX,
             () -> Duration.ofMillis(1250),
             () -> Duration.ofMillis(500),
-            new EndpointListWatch(PREFIX, FleetWatchFixture::endpoint, fleet, counters),
+            new EndpointListWatch(PREFIX, FleetWatchFixture::readEndpoint, fleet, counters),
             new BoxTime(clock).watch());
   }
 
-  private static FleetEndpoint endpoint(StoredItem item) {
+  private static FleetEndpoint readEndpoint(StoredItem item) {
     String id = item.key().substring(PREFIX.length());
-    // Each run has an address of its own: one that is listed anew takes the former's place.
+    // Each id has an address of its own, since a new endpoint replaces a former one at its address.
     HostPort address = new HostPort("10.0.0.1", 1 + Math.floorMod(id.hashCode(), 65_000));
     return new FleetEndpoint(
         id, SERVICE, address, "dc1", 6, false, Optional.empty(), "", item.createdAt());
@@ -67,7 +67,7 @@
     return store.has(PREFIX + id);
   }
 
-  /** Returns the endpoints that get new work now. */
+  /** Returns the ids of the endpoints that currently get new work. */
   ImmutableSet<String> usable() {
     return fleet.usable(SERVICE).stream()
         .map(endpoint -> endpoint.endpoint().id())
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/InFlightResponseSimulationTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/InFlightResponseSimulationTest.java
@@ -14,51 +14,54 @@
 import org.vaneworks.tests.Schedules;
 
 /**
- * Checks over random courses that callers get whole what engines would have answered whole.
+ * Checks in random simulations that callers get the complete response if the engine would have sent
+ * a complete answer.
  *
- * <p>Guards against a node that lets go of an engine that pauses and lives, and has no other.
+ * <p>Guards against nodes that abandon a paused engine before another engine accepts the request.
  */
 final class InFlightResponseSimulationTest {
-  private static final Schedules SCHEDULES = new Schedules("running answer");
+  private static final Schedules SIMULATIONS = new Schedules("in-flight response");
 
   @Property(
       tries = Schedules.TRIES,
       seed = "20261203",
       shrinking = ShrinkingMode.OFF,
       afterFailure = AfterFailureMode.PREVIOUS_SEED)
-  void answersAreNotBrokenOffWhileTheirEnginesLive(@ForAll long seed) {
-    SCHEDULES.run(
+  void responsesAreNotAbortedWhileTheirEnginesLive(@ForAll long seed) {
+    SIMULATIONS.run(
         seed,
         each -> {
-          InFlightResponseSimulation course = new InFlightResponseSimulation(each);
-          return new Schedules.Result(course.play(), course.counts());
+          InFlightResponseSimulation simulation = new InFlightResponseSimulation(each);
+          return new Schedules.Result(simulation.run(), simulation.counts());
         });
   }
 
-  // Guards against a stream that is cut as it left a live engine for one that turned it away.
+  // Guards against a stream that is aborted because it left a live engine for one that rejected it.
   @Test
-  void streamIsNotLetGoForAnEngineThatTurnsItAway() {
+  void streamKeepsItsEngineIfAnotherEngineRejectsIt() {
     for (long seed : new long[] {54, 69, 83, 663}) {
-      assertEquals(ImmutableList.of(), new InFlightResponseSimulation(seed).play(), "seed " + seed);
+      assertEquals(ImmutableList.of(), new InFlightResponseSimulation(seed).run(), "seed " + seed);
     }
   }
 
-  // Guards against a stream that is cut for the end of an engine that an unanswered order had
-  // taken off its path.
+  // Guards against a stream that is aborted by the crash of an engine which is no longer on its
+  // path, because the order that changed the path took effect but was not answered.
   @Test
-  void streamIsNotCutForAnEngineThatItNoLongerPasses() {
-    assertEquals(ImmutableList.of(), new InFlightResponseSimulation(98).play());
+  void streamSurvivesTheCrashOfAnEngineThatLeftItsPath() {
+    assertEquals(ImmutableList.of(), new InFlightResponseSimulation(98).run());
   }
 
-  // Guards against a stream that goes on, still waits for another place, and is then sent twice.
+  // Guards against a stream that makes progress again, but still waits for capacity elsewhere and
+  // is
+  // then sent twice.
   @ParameterizedTest
   @ValueSource(longs = {30, 74, 113, 236})
-  void streamThatMakesProgressWaitsForNoOtherPlace(long seed) {
-    assertEquals(ImmutableList.of(), new InFlightResponseSimulation(seed).play());
+  void streamThatMakesProgressAgainDoesNotMove(long seed) {
+    assertEquals(ImmutableList.of(), new InFlightResponseSimulation(seed).run());
   }
 
   @AfterContainer
   static void report() {
-    SCHEDULES.report();
+    SIMULATIONS.report();
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/PeerVersionsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/PeerVersionsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Checks when a store that confirms a configuration is taken to be behind. */
+/** Checks when the store's configuration is considered older than one that a peer has seen. */
 final class PeerVersionsTest {
   private final PausedExecutor clock = PausedExecutor.create();
   private final PeerVersions peers = new PeerVersions(clock);
@@ -31,16 +31,16 @@
   }
 
   @Test
-  void storeThatWasNotAskedSinceIsNot() {
-    long askedAt = now();
+  void storeThatWasNotCalledSinceIsNotBehind() {
+    long calledAt = now();
     advance(100);
     peers.heard(12);
     advance(100);
-    assertFalse(peers.storeIsBehind(11, askedAt));
+    assertFalse(peers.storeIsBehind(11, calledAt));
   }
 
   @Test
-  void peersThatAreBehindThemselvesChangeNothing() {
+  void olderVersionOfAnotherPeerIsIgnored() {
     peers.heard(12);
     advance(100);
     peers.heard(11);
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void versionThatNoPeerTellsAnyMoreCountsNoMore() {
+  void versionThatNoPeerReportsAnyMoreExpires() {
     peers.heard(12);
     for (int i = 0; i < 12; i++) {
       advance(1000);
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void peerThatHasSeenNoneSaysNothing() {
+  void peerWithoutAVersionIsIgnored() {
     peers.heard(0);
     advance(100);
     assertFalse(peers.storeIsBehind(1, now()));
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RateLimitedEngineSimulationTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RateLimitedEngineSimulationTest.java
@@ -9,62 +9,63 @@
 import org.vaneworks.tests.Schedules;
 
 /**
- * Checks over random courses that engines get no more than they say: limits begin, change and end,
- * nodes start again, are cut off from the store, are suspended and don't hear of each other.
+ * Checks in random simulations that rate limits of engines hold. Limits are set, changed and
+ * removed; nodes restart, are disconnected from the store, are suspended and lose load reports.
  */
 final class RateLimitedEngineSimulationTest {
   private static final int STEPS = 60;
-  private static final int MOST_NODES = 30;
-  private static final int MOST_ENGINES = 6;
-  private static final int LONGEST_STEP_MILLIS = 600;
+  private static final int MAX_NODES = 30;
+  private static final int MAX_ENGINES = 6;
+  private static final int MAX_STEP_MILLIS = 600;
 
-  /** More of them are played by hand. */
-  private static final int COURSES_A_TRY =
+  /** More than one if {@code vaneworks.schedules} is a multiple of the number of tries. */
+  private static final int SIMULATIONS_PER_TRY =
       Math.max(1, Integer.getInteger("vaneworks.schedules", Schedules.TRIES) / Schedules.TRIES);
 
-  /** One random course. */
-  private static final class Course {
+  /** One random simulation. */
+  private static final class Simulation {
     private final Random random;
     private final int nodes;
     private final int engines;
-    private final SimulatedCluster fleet;
-    private int asked;
+    private final SimulatedCluster cluster;
+    private int sentRequests;
 
-    Course(long seed) {
+    Simulation(long seed) {
       random = new Random(seed);
-      nodes = 1 + random.nextInt(MOST_NODES);
-      engines = 1 + random.nextInt(MOST_ENGINES);
-      fleet = new SimulatedCluster(nodes, engines, 1 + random.nextInt(3), seed);
+      nodes = 1 + random.nextInt(MAX_NODES);
+      engines = 1 + random.nextInt(MAX_ENGINES);
+      cluster = new SimulatedCluster(nodes, engines, 1 + random.nextInt(3), seed);
     }
 
-    void play() {
+    void run() {
       for (int step = 0; step < STEPS; step++) {
-        act();
-        ask(1 + random.nextInt(LONGEST_STEP_MILLIS));
+        randomAction();
+        sendRequests(1 + random.nextInt(MAX_STEP_MILLIS));
       }
     }
 
-    /** Asks nodes as often as the course likes. */
-    private void ask(int millis) {
-      int pause = 5 + random.nextInt(60);
-      for (int passed = 0; passed < millis; passed += pause) {
-        fleet.ask(random.nextInt(nodes), "letter " + asked++);
-        fleet.advance(pause);
+    /** Sends requests to random nodes at a random rate. */
+    private void sendRequests(int millis) {
+      int intervalMillis = 5 + random.nextInt(60);
+      for (int passed = 0; passed < millis; passed += intervalMillis) {
+        cluster.sendRequest(random.nextInt(nodes), "letter " + sentRequests++);
+        cluster.advance(intervalMillis);
       }
     }
 
-    private void act() {
-      EngineArrivals engine = fleet.arrivalsAt(random.nextInt(engines));
+    private void randomAction() {
+      EngineArrivals engine = cluster.arrivalsAt(random.nextInt(engines));
       int node = random.nextInt(nodes);
       switch (random.nextInt(12)) {
-        case 0, 1 -> engine.limit(StatedLimit.of(random.nextInt(120) / 10.0), fleet.nowMillis());
-        case 2 -> engine.limit(StatedLimit.none(), fleet.nowMillis());
-        case 3 -> fleet.restartNode(node);
-        case 4 -> fleet.reportsAreLost = true;
-        case 5, 6 -> fleet.reportsAreLost = false;
-        case 7 -> fleet.timeOfDayMoves(node, 500 + random.nextInt(5000));
-        case 8 -> fleet.cutFromStore(node, true);
-        case 9 -> fleet.cutFromStore(node, false);
+        case 0, 1 ->
+            engine.advertise(StatedLimit.of(random.nextInt(120) / 10.0), cluster.nowMillis());
+        case 2 -> engine.advertise(StatedLimit.none(), cluster.nowMillis());
+        case 3 -> cluster.restartNode(node);
+        case 4 -> cluster.dropLoadReports = true;
+        case 5, 6 -> cluster.dropLoadReports = false;
+        case 7 -> cluster.stepTimeOfDay(node, 500 + random.nextInt(5000));
+        case 8 -> cluster.setStoreDisconnected(node, true);
+        case 9 -> cluster.setStoreDisconnected(node, false);
         default -> {}
       }
     }
@@ -72,18 +73,18 @@
     long excess() {
       long worst = 0;
       for (int engine = 0; engine < engines; engine++) {
-        worst = Math.max(worst, fleet.arrivalsAt(engine).excess(fleet.nowMillis()));
+        worst = Math.max(worst, cluster.arrivalsAt(engine).excess(cluster.nowMillis()));
       }
       return worst;
     }
   }
 
   @Property(tries = Schedules.TRIES, seed = "20261203")
-  void enginesGetNoMoreThanTheySayWhateverHappensMeanwhile(@ForAll long seed) {
-    for (int i = 0; i < COURSES_A_TRY; i++) {
-      Course course = new Course(seed + i);
-      course.play();
-      assertEquals(0, course.excess(), "course " + (seed + i));
+  void rateLimitsHoldDespiteFaults(@ForAll long seed) {
+    for (int i = 0; i < SIMULATIONS_PER_TRY; i++) {
+      Simulation simulation = new Simulation(seed + i);
+      simulation.run();
+      assertEquals(0, simulation.excess(), "seed " + (seed + i));
     }
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RateLimitedEngineTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RateLimitedEngineTest.java
@@ -14,196 +14,196 @@
 import org.vaneworks.tests.forwarding.Got;
 
 /**
- * Checks that an engine gets no more requests a second, from all nodes together, than it says.
+ * Checks that all nodes together keep to the rate limit that an engine advertises.
  *
- * <p>The incident behind it. Seen: an engine that began to say in its answers that it takes 3.3
- * requests a second got some nine a second as before, from eight nodes that had all passed such
- * answers on. How it came about: every answer named the limit, and every node chose engines by load
- * alone. Cause: no node read what an engine says of itself on an answer. Proof: by the line that a
- * node writes at the first answer with a limit, the nodes that had it sent 24 requests too many in
- * four seconds, all of them first sends.
+ * <p>Guards against an incident in which an engine advertised 3.3 requests per second in its
+ * answers, but still got some nine per second. All eight nodes had passed on such answers, but none
+ * of them read the limit, and they selected engines by load only. By the log event of the first
+ * answer with a limit, nodes that had received one sent 24 requests too many in four seconds, all
+ * of them first attempts.
  */
 final class RateLimitedEngineTest {
   private static final int NODES = 8;
   private static final int ENGINES = 3;
-  private static final int LIMITED = 1;
+  private static final int LIMITED_ENGINE = 1;
   private static final double LIMIT = 3.3;
-  private static final int A_SECOND = 28;
+  private static final int REQUESTS_PER_SECOND = 28;
 
-  private SimulatedCluster fleet = new SimulatedCluster(NODES, ENGINES, 7);
+  private SimulatedCluster cluster = new SimulatedCluster(NODES, ENGINES, 7);
   private int nodes = NODES;
-  private int asked;
-  private final List<Got> answers = new ArrayList<>();
+  private int sentRequests;
+  private final List<Got> responses = new ArrayList<>();
 
-  /** Asks nodes in turn. */
-  private void ask(int seconds, int perSecond) {
+  /** Sends requests to the nodes round-robin. */
+  private void sendRequests(int seconds, int perSecond) {
     for (int i = 0; i < seconds * perSecond; i++) {
-      Got got = fleet.ask(asked % nodes, "letter " + asked);
-      answers.add(got);
-      asked++;
-      fleet.advance(1000 / perSecond);
+      Got response = cluster.sendRequest(sentRequests % nodes, "letter " + sentRequests);
+      responses.add(response);
+      sentRequests++;
+      cluster.advance(1000 / perSecond);
     }
   }
 
-  private void ask(int seconds) {
-    ask(seconds, A_SECOND);
+  private void sendRequests(int seconds) {
+    sendRequests(seconds, REQUESTS_PER_SECOND);
   }
 
-  private EngineArrivals limited() {
-    return fleet.arrivalsAt(LIMITED);
+  private EngineArrivals limitedEngine() {
+    return cluster.arrivalsAt(LIMITED_ENGINE);
   }
 
-  private void engineSays(StatedLimit limit) {
-    limited().limit(limit, fleet.nowMillis());
+  private void advertise(StatedLimit limit) {
+    limitedEngine().advertise(limit, cluster.nowMillis());
   }
 
   private long refusals() {
-    return answers.stream().filter(got -> got.refusal.isPresent()).count();
+    return responses.stream().filter(response -> response.refusal.isPresent()).count();
   }
 
   @Test
-  void engineGetsNoMoreThanItSaysFromAllNodesTogether() {
-    ask(8);
-    engineSays(StatedLimit.of(LIMIT));
-    ask(12);
-    assertEquals(0, limited().excess(fleet.nowMillis()));
+  void allNodesTogetherKeepToTheLimit() {
+    sendRequests(8);
+    advertise(StatedLimit.of(LIMIT));
+    sendRequests(12);
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
   }
 
   @Test
-  void secondEngineThatNamesItsLimitLaterGetsNoMoreEither() {
-    engineSays(StatedLimit.of(LIMIT));
-    ask(12);
-    fleet.arrivalsAt(2).limit(StatedLimit.of(4.1), fleet.nowMillis());
-    ask(12);
-    assertEquals(0, limited().excess(fleet.nowMillis()));
-    assertEquals(0, fleet.arrivalsAt(2).excess(fleet.nowMillis()));
+  void limitOfASecondEngineHoldsToo() {
+    advertise(StatedLimit.of(LIMIT));
+    sendRequests(12);
+    cluster.arrivalsAt(2).advertise(StatedLimit.of(4.1), cluster.nowMillis());
+    sendRequests(12);
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
+    assertEquals(0, cluster.arrivalsAt(2).excess(cluster.nowMillis()));
   }
 
   @Test
-  void engineIsStillUsedWhileOthersHaveRoom() {
-    fleet = new SimulatedCluster(NODES, ENGINES, ENGINES, 7);
-    engineSays(StatedLimit.of(LIMIT));
-    ask(5);
-    long from = fleet.nowMillis();
-    ask(20);
-    long got = limited().between(from, fleet.nowMillis());
-    assertTrue(got >= 20 && got <= LIMIT * 20, got + " requests in 20 s");
+  void limitedEngineIsStillUsedWhileOthersHaveCapacity() {
+    cluster = new SimulatedCluster(NODES, ENGINES, ENGINES, 7);
+    advertise(StatedLimit.of(LIMIT));
+    sendRequests(5);
+    long from = cluster.nowMillis();
+    sendRequests(20);
+    long arrivals = limitedEngine().between(from, cluster.nowMillis());
+    assertTrue(arrivals >= 20 && arrivals <= LIMIT * 20, arrivals + " requests in 20 s");
   }
 
   @Test
-  void noRequestIsRefusedWhileOtherEnginesHaveRoom() {
-    ask(2);
-    engineSays(StatedLimit.of(LIMIT));
-    ask(20);
+  void noRequestIsRefusedWhileOtherEnginesHaveCapacity() {
+    sendRequests(2);
+    advertise(StatedLimit.of(LIMIT));
+    sendRequests(20);
     assertEquals(0, refusals());
   }
 
   @Test
-  void allNodesUseTheEngineAsBeforeOnceItNamesNoLimit() {
-    ask(10);
-    long usual = limited().between(fleet.nowMillis() - 5000, fleet.nowMillis());
-    engineSays(StatedLimit.of(LIMIT));
-    ask(10);
-    engineSays(StatedLimit.none());
-    ask(3);
-    long from = fleet.nowMillis();
-    ask(5);
-    long after = limited().between(from, fleet.nowMillis());
+  void engineIsUsedAsBeforeOnceItsLimitIsRemoved() {
+    sendRequests(10);
+    long usual = limitedEngine().between(cluster.nowMillis() - 5000, cluster.nowMillis());
+    advertise(StatedLimit.of(LIMIT));
+    sendRequests(10);
+    advertise(StatedLimit.none());
+    sendRequests(3);
+    long from = cluster.nowMillis();
+    sendRequests(5);
+    long after = limitedEngine().between(from, cluster.nowMillis());
     assertTrue(after >= 0.7 * usual, after + " requests in 5 s, " + usual + " before");
   }
 
   @Test
-  void boundHoldsAlsoWhereNodesDoNotHearOfEachOther() {
-    fleet.reportsAreLost = true;
-    ask(5);
-    engineSays(StatedLimit.of(LIMIT));
-    ask(60);
-    assertEquals(0, limited().excess(fleet.nowMillis()));
+  void limitHoldsIfLoadReportsAreLost() {
+    cluster.dropLoadReports = true;
+    sendRequests(5);
+    advertise(StatedLimit.of(LIMIT));
+    sendRequests(60);
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
     assertEquals(0, refusals());
   }
 
   @Test
-  void boundHoldsWhileNodesStartAgain() {
-    engineSays(StatedLimit.of(LIMIT));
-    ask(5);
+  void limitHoldsWhileNodesRestart() {
+    advertise(StatedLimit.of(LIMIT));
+    sendRequests(5);
     for (int node = 0; node < NODES; node++) {
-      fleet.restartNode(node);
-      ask(3);
+      cluster.restartNode(node);
+      sendRequests(3);
     }
-    assertEquals(0, limited().excess(fleet.nowMillis()));
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
   }
 
-  /** Guards against a limit that is forgotten with the entry of the engine that named it. */
+  /** Guards against a limit that is lost when the engine's entry expires. */
   @Test
-  void boundHoldsIfTheEntryOfTheEngineLapsesAndComesBack() {
-    fleet.reportsAreLost = true;
-    ask(3);
-    engineSays(StatedLimit.of(0.5));
-    ask(6);
+  void limitOutlivesTheEntryOfTheEngine() {
+    cluster.dropLoadReports = true;
+    sendRequests(3);
+    advertise(StatedLimit.of(0.5));
+    sendRequests(6);
     for (int i = 0; i < 6; i++) {
-      fleet.listsItselfAgain(LIMITED, 300);
-      ask(1);
+      cluster.relistEngine(LIMITED_ENGINE, 300);
+      sendRequests(1);
     }
-    assertEquals(0, limited().excess(fleet.nowMillis()));
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
   }
 
   @Test
-  void boundHoldsAtEighteenNodesInThreeDataCentres() {
+  void limitHoldsWithEighteenNodesInThreeDataCentres() {
     nodes = 18;
-    fleet = new SimulatedCluster(nodes, 6, 3, 7);
-    ask(5, 125);
-    engineSays(StatedLimit.of(2));
-    ask(30, 125);
-    assertEquals(0, limited().excess(fleet.nowMillis()));
-    long got = limited().between(fleet.nowMillis() - 20_000, fleet.nowMillis());
-    assertTrue(got >= 0.5 * 2 * 20 && got <= 2 * 20, got + " requests in 20 s");
+    cluster = new SimulatedCluster(nodes, 6, 3, 7);
+    sendRequests(5, 125);
+    advertise(StatedLimit.of(2));
+    sendRequests(30, 125);
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
+    long arrivals = limitedEngine().between(cluster.nowMillis() - 20_000, cluster.nowMillis());
+    assertTrue(arrivals >= 0.5 * 2 * 20 && arrivals <= 2 * 20, arrivals + " requests in 20 s");
   }
 
   @Test
-  void limitIsKeptByNodesThatAreManyTimesMoreThanItAllows() {
+  void limitHoldsWithManyMoreNodesThanRequestsPerSecond() {
     nodes = 120;
-    fleet = new SimulatedCluster(nodes, 4, 7);
-    ask(5, 250);
-    engineSays(StatedLimit.of(1.5));
-    ask(30, 250);
-    assertEquals(0, limited().excess(fleet.nowMillis()));
-    long got = limited().between(fleet.nowMillis() - 20_000, fleet.nowMillis());
-    assertTrue(got >= 0.5 * 1.5 * 20 && got <= 1.5 * 20, got + " requests in 20 s");
+    cluster = new SimulatedCluster(nodes, 4, 7);
+    sendRequests(5, 250);
+    advertise(StatedLimit.of(1.5));
+    sendRequests(30, 250);
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
+    long arrivals = limitedEngine().between(cluster.nowMillis() - 20_000, cluster.nowMillis());
+    assertTrue(arrivals >= 0.5 * 1.5 * 20 && arrivals <= 1.5 * 20, arrivals + " requests in 20 s");
   }
 
   @Test
-  void engineThatTakesNothingIsAskedNowAndThen() {
-    ask(3);
-    engineSays(StatedLimit.of(0));
-    ask(20);
-    assertEquals(0, limited().excess(fleet.nowMillis()));
-    engineSays(StatedLimit.none());
-    ask(15);
-    long got = limited().between(fleet.nowMillis() - 3000, fleet.nowMillis());
-    assertTrue(got > A_SECOND / 2, got + " requests in 3 s");
+  void engineWithLimitZeroIsProbedAndUsedOnceTheLimitIsRemoved() {
+    sendRequests(3);
+    advertise(StatedLimit.of(0));
+    sendRequests(20);
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
+    advertise(StatedLimit.none());
+    sendRequests(15);
+    long arrivals = limitedEngine().between(cluster.nowMillis() - 3000, cluster.nowMillis());
+    assertTrue(arrivals > REQUESTS_PER_SECOND / 2, arrivals + " requests in 3 s");
   }
 
   @Test
-  void onlyEngineIsGivenNearlyAllThatItTakes() {
-    fleet = new SimulatedCluster(NODES, 1, 7);
-    ask(3);
-    fleet.arrivalsAt(0).limit(StatedLimit.of(LIMIT), fleet.nowMillis());
-    ask(40);
-    assertEquals(0, fleet.arrivalsAt(0).excess(fleet.nowMillis()));
-    long got = fleet.arrivalsAt(0).between(fleet.nowMillis() - 20_000, fleet.nowMillis());
-    assertTrue(got >= 0.8 * LIMIT * 20, got + " requests in 20 s");
+  void onlyEngineGetsNearlyItsWholeLimit() {
+    cluster = new SimulatedCluster(NODES, 1, 7);
+    sendRequests(3);
+    cluster.arrivalsAt(0).advertise(StatedLimit.of(LIMIT), cluster.nowMillis());
+    sendRequests(40);
+    assertEquals(0, cluster.arrivalsAt(0).excess(cluster.nowMillis()));
+    long arrivals =
+        cluster.arrivalsAt(0).between(cluster.nowMillis() - 20_000, cluster.nowMillis());
+    assertTrue(arrivals >= 0.8 * LIMIT * 20, arrivals + " requests in 20 s");
   }
 
   @Test
   void nodeWithoutAShareOfTheOnlyEngineRefusesAtOnceAsNotRun() {
-    fleet = new SimulatedCluster(NODES, 1, 7);
-    ask(3);
-    // One node has all of it.
-    fleet.arrivalsAt(0).limit(StatedLimit.of(0.9), fleet.nowMillis());
-    ask(3);
+    cluster = new SimulatedCluster(NODES, 1, 7);
+    sendRequests(3);
+    // The limit is so low that one node has the whole share.
+    cluster.arrivalsAt(0).advertise(StatedLimit.of(0.9), cluster.nowMillis());
+    sendRequests(3);
     int refused = 0;
     for (int node = 0; node < NODES; node++) {
-      Optional<Refusal> refusal = fleet.ask(node, "now").refusal;
+      Optional<Refusal> refusal = cluster.sendRequest(node, "now").refusal;
       refused += refusal.isPresent() ? 1 : 0;
       refusal.ifPresent(
           given -> {
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RetryBudgetChecker.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RetryBudgetChecker.java
@@ -7,63 +7,66 @@
 import org.vaneworks.coordination.forwarding.ForwardingLimits;
 
 /**
- * One node's repeated sends against the users' bounds: in whatever window, a share of its requests
- * and its part of a reserve.
+ * Checks one node's retries against its retry budget: in any time window, they may not exceed the
+ * configured share of the node's requests plus the node's part of the reserve.
  */
 final class RetryBudgetChecker {
-  /** A repeated send that was allowed may wait for room so long before it goes. */
-  private static final long WAITS_MILLIS = 3000;
+  /** A retry that was granted may wait this long for capacity before it is sent. */
+  private static final long MAX_WAIT_MILLIS = 3000;
 
   private final int nodes;
   private final LongSupplier clock;
-  private final List<Long> resends = new ArrayList<>();
+  private final List<Long> retries = new ArrayList<>();
 
-  /** What all requests up to a time have earned. */
-  private final TreeMap<Long, Double> earned = new TreeMap<>();
+  /** The budget that all requests up to a time have deposited. */
+  private final TreeMap<Long, Double> deposits = new TreeMap<>();
 
-  /** The reserve from a time on. */
+  /** The configured reserve by the time from which it applies. */
   private final TreeMap<Long, Double> reserves = new TreeMap<>();
 
   private double share;
-  private double sum;
+  private double deposited;
 
   RetryBudgetChecker(ForwardingLimits limits, int nodes, LongSupplier clock) {
     this.nodes = nodes;
     this.clock = clock;
-    limits(limits);
+    updateLimits(limits);
   }
 
-  void limits(ForwardingLimits next) {
+  void updateLimits(ForwardingLimits next) {
     share = next.retryShare();
     reserves.put(clock.getAsLong(), next.retryReserve());
   }
 
-  /** Notes a request that the node took. */
-  void noteRequest() {
-    sum += share;
-    earned.put(clock.getAsLong(), sum);
+  /** Records a request that the node accepted. */
+  void recordRequest() {
+    deposited += share;
+    deposits.put(clock.getAsLong(), deposited);
   }
 
-  /** Notes a repeated send; returns whether it is within the bounds. */
-  boolean noteResend() {
-    resends.add(clock.getAsLong());
-    for (int first = 0; first < resends.size(); first++) {
-      int count = resends.size() - first;
-      if (count > reserve() / nodes + sum - earnedBefore(resends.get(first) - WAITS_MILLIS)) {
+  /** Records a retry; returns whether it is within the budget. */
+  boolean recordRetry() {
+    retries.add(clock.getAsLong());
+    for (int first = 0; first < retries.size(); first++) {
+      int count = retries.size() - first;
+      if (count
+          > maxReserve() / nodes
+              + deposited
+              - depositedBefore(retries.get(first) - MAX_WAIT_MILLIS)) {
         return false;
       }
     }
     return true;
   }
 
-  private double earnedBefore(long millis) {
-    var before = earned.lowerEntry(millis);
+  private double depositedBefore(long millis) {
+    var before = deposits.lowerEntry(millis);
     return before == null ? 0 : before.getValue();
   }
 
-  /** Returns the greatest reserve under which a send that goes now may have been allowed. */
-  private double reserve() {
-    Long from = reserves.floorKey(clock.getAsLong() - WAITS_MILLIS);
+  /** Returns the largest reserve under which a retry that is sent now may have been granted. */
+  private double maxReserve() {
+    Long from = reserves.floorKey(clock.getAsLong() - MAX_WAIT_MILLIS);
     return reserves.tailMap(from == null ? reserves.firstKey() : from).values().stream()
         .reduce(0.0, Math::max);
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCaller.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCaller.java
@@ -17,96 +17,99 @@
 import org.vaneworks.tests.forwarding.Got;
 
 /**
- * A caller of a course, who judges what it gets by what engines know of its request.
+ * A simulated caller that checks its response against the attempts of its request.
  *
- * <p>An answer that it has begun to get comes whole, each event once and in order, or ends because
- * its engine ended it, its time is over or it left itself; not because its node let go of an engine
- * that would have gone on.
+ * <p>A response that has started must be complete, with each event exactly once and in order. It
+ * may be aborted only because its engine terminated the request, its deadline passed or the caller
+ * disconnected, but not because the node abandoned an engine that would have continued.
  */
 final class SimulatedCaller implements CallerAnswer {
-  /** Its node let go of an engine for another, which turned the request away. */
-  static final String LET_GO_IN_VAIN = "cut as it was let go for an engine without room";
+  /** Problem: the node abandoned an engine for another one, which rejected the request. */
+  static final String ABANDONED_FOR_FULL_ENGINE =
+      "aborted after a move to an engine without capacity";
 
-  /** Callers wait this long for the first event of a stream, so none is refused later unsent. */
-  private static final int PATIENCE_MILLIS = 2000;
+  /**
+   * The timeout of the first event of a stream; a request that was never sent is refused by then.
+   */
+  private static final int FIRST_EVENT_TIMEOUT_MILLIS = 2000;
 
-  /** A node that goes on after it stood still reads what has arrived since. */
-  private static final int LATEST_MILLIS = 50;
+  /** The tolerance for a node that reads a backlog after its event loop was stalled. */
+  private static final int STALL_TOLERANCE_MILLIS = 50;
 
-  private final SimulatedCluster.Asked asked;
+  private final SimulatedCluster.SimulatedRequest request;
   private final EntryRoute route;
   private final int node;
   private final LongSupplier clock;
-  private final LongSupplier stoodStill;
-  private final long askedAt;
-  private long stoodStillBefore;
-  private final Got got = new Got();
+  private final LongSupplier stalled;
+  private final long sentAt;
+  private long stalledBefore;
+  private final Got response = new Got();
   private final List<String> problems = new ArrayList<>();
-  private Optional<Flow> flow = Optional.empty();
-  private long takenAt;
-  private long overAt;
+  private Optional<Flow> listener = Optional.empty();
+  private long acceptedAt;
+  private long finishedAt;
 
-  /** From when its node had the request until it was over, without the time that it stood still. */
-  private long tookMillis;
+  /** From acceptance by the node until the end of the request, without stalls of the node. */
+  private long elapsedMillis;
 
-  private boolean left;
-  private boolean nodeKnows;
+  private boolean disconnected;
+  private boolean nodeNotified;
 
   /**
-   * Makes one.
+   * Creates a caller.
    *
-   * @param stoodStill for how long its node has stood still, in milliseconds
+   * @param stalled for how long its node's event loop has been stalled in total, in milliseconds
    */
   SimulatedCaller(
-      SimulatedCluster.Asked asked,
+      SimulatedCluster.SimulatedRequest request,
       EntryRoute route,
       int node,
       LongSupplier clock,
-      LongSupplier stoodStill) {
-    this.asked = asked;
+      LongSupplier stalled) {
+    this.request = request;
     this.route = route;
     this.node = node;
     this.clock = clock;
-    this.stoodStill = stoodStill;
-    askedAt = clock.getAsLong();
-    takenAt = askedAt;
+    this.stalled = stalled;
+    sentAt = clock.getAsLong();
+    acceptedAt = sentAt;
   }
 
-  /** Takes note that the node has the request. */
-  void taken(Flow by) {
-    takenAt = clock.getAsLong();
-    stoodStillBefore = stoodStill.getAsLong();
-    flow = Optional.of(by);
+  /** Records that the node accepted the request. */
+  void onAccepted(Flow next) {
+    acceptedAt = clock.getAsLong();
+    stalledBefore = stalled.getAsLong();
+    listener = Optional.of(next);
   }
 
-  /** Closes its connection; its node learns of it by {@link #gone}. */
-  void leave() {
-    left = left || !isOver();
+  /** Closes the connection; {@link #notifyNode} notifies the node. */
+  void disconnect() {
+    disconnected = disconnected || !isFinished();
   }
 
-  /** Tells the node that it has left, if it has. */
-  void gone() {
-    if (left && !nodeKnows) {
-      nodeKnows = true;
-      flow.orElseThrow().gone();
+  /** Notifies the node if the caller has disconnected. */
+  void notifyNode() {
+    if (disconnected && !nodeNotified) {
+      nodeNotified = true;
+      listener.orElseThrow().gone();
     }
   }
 
-  /** Takes note that the node has ended. */
-  void nodeEnded() {
-    leave();
-    nodeKnows = left;
+  /** Records that the node's process has stopped. */
+  void onNodeStopped() {
+    disconnect();
+    nodeNotified = disconnected;
   }
 
-  /** Returns how it ended, in a word. */
+  /** Returns the outcome of the request as a key for counts. */
   String outcome() {
-    if (got.whole) {
-      return "whole";
+    if (response.whole) {
+      return "complete";
     }
-    if (got.cut) {
-      return "cut";
+    if (response.cut) {
+      return "aborted";
     }
-    return left ? "left" : "refused";
+    return disconnected ? "disconnected" : "refused";
   }
 
   int node() {
@@ -114,66 +117,66 @@
   }
 
   String id() {
-    return asked.id();
+    return request.id();
   }
 
-  boolean isOver() {
-    return nodeKnows || got.whole || got.cut || got.refusal.isPresent();
+  boolean isFinished() {
+    return nodeNotified || response.whole || response.cut || response.refusal.isPresent();
   }
 
-  boolean isWhole() {
-    return got.whole;
+  boolean isComplete() {
+    return response.whole;
   }
 
   boolean hasHead() {
-    return got.status.isPresent();
+    return response.status.isPresent();
   }
 
   @Override
   public void head(AnswerHead head) {
-    check(got.status.isEmpty(), "a second head");
-    noteNews("a head");
-    got.head(head);
+    check(response.status.isEmpty(), "a second head");
+    checkNotFinished("a head");
+    response.head(head);
   }
 
   @Override
   public boolean data(byte[] bytes) {
-    check(got.status.isPresent(), "data before the head: " + new String(bytes, UTF_8));
-    noteNews("data");
-    return got.data(bytes);
+    check(response.status.isPresent(), "data before the head: " + new String(bytes, UTF_8));
+    checkNotFinished("data");
+    return response.data(bytes);
   }
 
   @Override
   public void end() {
-    noteNews("an end");
-    got.end();
-    noteOver();
+    checkNotFinished("an end");
+    response.end();
+    recordFinish();
   }
 
   @Override
   public void cut() {
-    noteNews("a cut");
-    got.cut();
-    noteOver();
+    checkNotFinished("an abort");
+    response.cut();
+    recordFinish();
   }
 
   @Override
   public void refuse(Refusal refusal) {
-    check(got.status.isEmpty(), "a refusal after the head");
-    noteNews("a refusal");
-    got.refuse(refusal);
-    noteOver();
+    check(response.status.isEmpty(), "a refusal after the head");
+    checkNotFinished("a refusal");
+    response.refuse(refusal);
+    recordFinish();
   }
 
-  private void noteOver() {
-    overAt = clock.getAsLong();
-    if (flow.isPresent()) { // Otherwise the node answers at once.
-      tookMillis = overAt - takenAt - (stoodStill.getAsLong() - stoodStillBefore);
+  private void recordFinish() {
+    finishedAt = clock.getAsLong();
+    if (listener.isPresent()) { // Otherwise the node responded synchronously.
+      elapsedMillis = finishedAt - acceptedAt - (stalled.getAsLong() - stalledBefore);
     }
   }
 
-  private void noteNews(String news) {
-    check(!isOver(), news + " after the end");
+  private void checkNotFinished(String event) {
+    check(!isFinished(), event + " after the end");
   }
 
   private void check(boolean holds, String problem) {
@@ -183,60 +186,67 @@
   }
 
   /**
-   * Takes note that the node is about to send the request.
+   * Checks an attempt that the node is about to send.
    *
-   * <p>An answer that it has begun to get may go on at its endpoint until another has taken it.
+   * <p>An answer that has started may continue at its endpoint until another one accepts the
+   * request.
    */
-  void sending(ImmutableList<AttemptRecord> before) {
-    check(!isOver(), "sent after the end");
-    // The send that is noted now is the last one.
-    long underWay =
-        before.stream()
-            .limit(Math.max(0, before.size() - 1))
-            .filter(send -> !send.isClosed() && send.end() != AttemptRecord.End.ENGINE_ENDED)
+  void beforeAttempt(ImmutableList<AttemptRecord> attempts) {
+    check(!isFinished(), "sent after the end");
+    // The last attempt is the one that is about to be sent.
+    long active =
+        attempts.stream()
+            .limit(Math.max(0, attempts.size() - 1))
+            .filter(
+                attempt ->
+                    !attempt.isClosed()
+                        && attempt.outcome() != AttemptRecord.Outcome.ENGINE_ABORTED)
             .count();
-    boolean mayGoOn = hasHead() && route.kind().idempotent() && route.kind().streamed();
-    check(underWay <= (mayGoOn ? 1 : 0), "sent while it runs at " + before);
+    boolean mayContinue = hasHead() && route.kind().idempotent() && route.kind().streamed();
+    check(active <= (mayContinue ? 1 : 0), "sent while active: " + attempts);
   }
 
-  /** Returns what is wrong with what it got, once all is over. */
-  ImmutableList<String> problems(ImmutableList<AttemptRecord> sends) {
-    check(isOver(), "no end");
-    checkRuns(sends);
-    checkMoves(sends);
+  /** Returns the problems found, once the simulation is over. */
+  ImmutableList<String> problems(ImmutableList<AttemptRecord> attempts) {
+    check(isFinished(), "not finished");
+    checkStarts(attempts);
+    checkMoves(attempts);
     checkEvents();
-    if (got.cut) {
-      checkCut(sends);
+    if (response.cut) {
+      checkAbort(attempts);
     }
-    got.refusal.ifPresent(refusal -> checkRefusal(refusal, sends));
+    response.refusal.ifPresent(refusal -> checkRefusal(refusal, attempts));
     return problems.stream()
-        .map(problem -> problem + " (" + this + ", sent " + sends + ")")
+        .map(problem -> problem + " (" + this + ", attempts " + attempts + ")")
         .collect(ImmutableList.toImmutableList());
   }
 
-  private void checkRuns(ImmutableList<AttemptRecord> sends) {
-    long runs = sends.stream().filter(AttemptRecord::wasTaken).count();
-    int most = route.kind().idempotent() ? route.attempts() : 1;
-    check(runs <= most, "it ran " + runs + " times");
+  private void checkStarts(ImmutableList<AttemptRecord> attempts) {
+    long starts = attempts.stream().filter(AttemptRecord::wasStarted).count();
+    int maxStarts = route.kind().idempotent() ? route.attempts() : 1;
+    check(starts <= maxStarts, "started " + starts + " times");
   }
 
-  /** An engine that would have gone on is left only while the request is at another one. */
-  private void checkMoves(ImmutableList<AttemptRecord> sends) {
-    for (AttemptRecord send : sends) {
-      long at = send.closedAtMillis();
-      boolean over = left || at >= overAt;
-      boolean elsewhere = sends.stream().anyMatch(other -> other != send && other.isUnderWayAt(at));
-      check(!send.wasLetGo() || over || elsewhere, "let go before it had another place");
+  /** Checks that engines that would have continued are abandoned only during another attempt. */
+  private void checkMoves(ImmutableList<AttemptRecord> attempts) {
+    for (AttemptRecord attempt : attempts) {
+      long at = attempt.closedAtMillis();
+      boolean finished = disconnected || at >= finishedAt;
+      boolean elsewhere =
+          attempts.stream().anyMatch(other -> other != attempt && other.isActiveAt(at));
+      check(!attempt.wasAbandoned() || finished || elsewhere, "abandoned without another attempt");
     }
   }
 
   private void checkEvents() {
-    if (got.status.filter(status -> status == 200).isEmpty()) {
+    if (response.status.filter(status -> status == 200).isEmpty()) {
       return;
     }
-    int last = route.kind().streamed() ? SimulatedCluster.EVENTS : 1;
+    int last = route.kind().streamed() ? SimulatedCluster.EVENT_COUNT : 1;
     String all = events(last);
-    check(got.whole ? got.body.equals(all) : all.startsWith(got.body), "it got " + got.body);
+    check(
+        response.whole ? response.body.equals(all) : all.startsWith(response.body),
+        "got " + response.body);
   }
 
   private static String events(int last) {
@@ -246,38 +256,46 @@
     return all.toString();
   }
 
-  private void checkCut(ImmutableList<AttemptRecord> sends) {
-    if (overAt >= takenAt + asked.limit().toMillis()) {
+  private void checkAbort(ImmutableList<AttemptRecord> attempts) {
+    if (finishedAt >= acceptedAt + request.timeout().toMillis()) {
       return;
     }
-    Optional<AttemptRecord> kept =
+    Optional<AttemptRecord> lastKept =
         Streams.findLast(
-            sends.stream().filter(send -> !send.wasLetGo() || send.closedAtMillis() >= overAt));
-    check(kept.isPresent(), "cut after it had been let go everywhere");
-    kept.ifPresent(last -> checkCut(last, sends));
+            attempts.stream()
+                .filter(
+                    attempt -> !attempt.wasAbandoned() || attempt.closedAtMillis() >= finishedAt));
+    check(lastKept.isPresent(), "aborted after all attempts were abandoned");
+    lastKept.ifPresent(last -> checkAbort(last, attempts));
   }
 
-  private void checkCut(AttemptRecord last, ImmutableList<AttemptRecord> sends) {
-    if (last.end() == AttemptRecord.End.TURNED_AWAY) {
-      check(sends.stream().noneMatch(AttemptRecord::wasLetGo), LET_GO_IN_VAIN);
+  private void checkAbort(AttemptRecord last, ImmutableList<AttemptRecord> attempts) {
+    if (last.outcome() == AttemptRecord.Outcome.REJECTED) {
+      check(attempts.stream().noneMatch(AttemptRecord::wasAbandoned), ABANDONED_FOR_FULL_ENGINE);
     } else {
-      check(last.wasEndedByEngine(), "cut though its engine would have gone on");
+      check(last.wasTerminatedByEngine(), "aborted though its engine would have continued");
     }
   }
 
-  private void checkRefusal(Refusal refusal, ImmutableList<AttemptRecord> sends) {
+  private void checkRefusal(Refusal refusal, ImmutableList<AttemptRecord> attempts) {
     if (refusal.verdict() == Verdict.NOT_RUN) {
-      check(sends.stream().noneMatch(AttemptRecord::wasTaken), "NOT_RUN though an engine ran it");
+      check(
+          attempts.stream().noneMatch(AttemptRecord::wasStarted),
+          "NOT_RUN though an engine started it");
     }
-    if (sends.isEmpty()) {
-      check(tookMillis <= PATIENCE_MILLIS + LATEST_MILLIS, "refused late, and never sent");
+    if (attempts.isEmpty()) {
+      check(
+          elapsedMillis <= FIRST_EVENT_TIMEOUT_MILLIS + STALL_TOLERANCE_MILLIS,
+          "refused late, and never sent");
     }
-    check(tookMillis <= asked.limit().toMillis() + LATEST_MILLIS, "refused after its time");
+    check(
+        elapsedMillis <= request.timeout().toMillis() + STALL_TOLERANCE_MILLIS,
+        "refused after its deadline");
   }
 
   @Override
   public String toString() {
-    return asked.id()
+    return request.id()
         + " "
         + route.kind()
         + " attempts "
@@ -285,12 +303,15 @@
         + " at node "
         + node
         + " from "
-        + askedAt
+        + sentAt
         + " to "
-        + overAt
-        + (left ? " left" : "")
-        + (got.cut ? " cut" : "")
-        + (got.whole ? " whole" : "")
-        + got.refusal.map(refusal -> " " + refusal.verdict() + " " + refusal.detail()).orElse("");
+        + finishedAt
+        + (disconnected ? " disconnected" : "")
+        + (response.cut ? " aborted" : "")
+        + (response.whole ? " complete" : "")
+        + response
+            .refusal
+            .map(refusal -> " " + refusal.verdict() + " " + refusal.detail())
+            .orElse("");
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCluster.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCluster.java
@@ -78,11 +78,11 @@
 import org.vaneworks.tests.shared.StoreLink;
 
 /**
- * Nodes before the same engines and the same store, under a paused clock.
+ * A cluster of nodes that share engines and a store, under a paused clock.
  *
- * <p>An engine ends 60 ms after it began a request whose body is {@link #CRASHING}, with all that
- * it runs; another takes its place three seconds later, under a new id. Every engine holds all
- * layers.
+ * <p>An engine crashes 60 ms after it started a request whose body is {@link #CRASHING}, and loses
+ * all requests that it runs. A replacement with a new id starts three seconds later. Unless a test
+ * starts engines with fewer layers, every engine holds all layers.
  */
 final class SimulatedCluster {
   static final String CRASHING = "crashing";
@@ -95,64 +95,64 @@
   private static final String QUARANTINE = "quarantine/";
   private static final int LAYERS = 80;
   private static final int PEER_PORT = 7000;
-  static final int EVENTS = 20;
-
-  /** From arrival until an engine begins a request, and between its events. */
-  private static final int BEGINS_AFTER_MILLIS = 40;
-
-  private static final int STEP_MILLIS = 20;
-  private static final int ENDS_AFTER_MILLIS = 60;
-  private static final int BACK_AFTER_MILLIS = 3000;
-  private static final int RELISTED_AFTER_MILLIS = 800;
-  private static final int ON_THE_WAY_MILLIS = 1;
-  private static final Duration REPATH_LIMIT = Duration.ofMillis(100);
-  private static final int BLOCKED_LOOK_MILLIS = 20;
+  static final int EVENT_COUNT = 20;
+
+  /** From the arrival of a request until an engine starts it. */
+  private static final int START_DELAY_MILLIS = 40;
+
+  private static final int EVENT_INTERVAL_MILLIS = 20;
+  private static final int CRASH_DELAY_MILLIS = 60;
+  private static final int REPLACEMENT_DELAY_MILLIS = 3000;
+  private static final int RELIST_DELAY_MILLIS = 800;
+  private static final int NETWORK_DELAY_MILLIS = 1;
+  private static final Duration REPATH_TIMEOUT = Duration.ofMillis(100);
+  private static final int BLOCKED_POLL_MILLIS = 20;
   private static final int FAILURE = 500;
   private static final int MISDIRECTED = 421;
-  private static final int LOADS_AFTER_MILLIS = 1500;
+  private static final int LAYER_LOAD_MILLIS = 1500;
   private static final long FIRST_START_MILLIS = 1000;
-  private static final long FOR_GOOD = Long.MAX_VALUE;
+  private static final long FOREVER = Long.MAX_VALUE;
 
   final PausedExecutor clock = PausedExecutor.create();
   final StoreInMemory store = new StoreInMemory(clock);
   private final Map<HostPort, Engine> engines = new LinkedHashMap<>();
   private final List<Node> nodes = new ArrayList<>();
 
-  /** Of all nodes together. */
+  /** The meters of all nodes together. */
   private final SimpleMeterRegistry meters = new SimpleMeterRegistry();
 
   private final List<Arrival> crashingArrivals = new ArrayList<>();
-  private final List<Long> ends = new ArrayList<>();
-  private final Map<String, List<AttemptRecord>> sends = new HashMap<>();
+  private final List<Long> crashTimes = new ArrayList<>();
+  private final Map<String, List<AttemptRecord>> attempts = new HashMap<>();
   private final long seed;
   private final int dataCentres;
 
   /**
-   * Whether questions take time, streams are resumed and runs of engines tell their start. Courses
-   * whose seeds were found without stay as they were.
+   * Whether status calls and orders take time, streams are resumed and engines report the start of
+   * their incarnation. Off in simulations whose regression seeds were found without these details.
    */
-  private final boolean inDetail;
+  private final boolean detailed;
 
   private EntryConfiguration configuration = CONFIGURATION;
   private ForwardingLimits limits = new ForwardingLimits(Duration.ofMillis(4750), 0.2, 100);
 
-  /** Whether no node hears of another. */
-  boolean reportsAreLost;
+  /** Whether all load reports between nodes are lost. */
+  boolean dropLoadReports;
 
   private BiConsumer<Integer, String> sendListener = (node, id) -> {};
-  private int started;
-  private int runs;
-  private int asked;
+  private int startedEngines;
+  private int incarnations;
+  private int sentRequests;
 
   SimulatedCluster(int nodes, int engines, long seed) {
     this(nodes, engines, 1, seed);
   }
 
-  /** Makes nodes and engines that stand in the data centres in turn. */
+  /** Creates nodes and engines, distributed over the data centres round-robin. */
   SimulatedCluster(int nodes, int engines, int dataCentres, long seed) {
     this.seed = seed;
     this.dataCentres = dataCentres;
-    inDetail = false;
+    detailed = false;
     for (int i = 0; i < engines; i++) {
       startEngine();
     }
@@ -162,35 +162,36 @@
     advance(1000);
   }
 
-  /** Makes nodes before no endpoint yet, whose faults are played in detail. */
-  SimulatedCluster(int nodes, long seed, EntryConfiguration configuration, ForwardingLimits limits) {
+  /** Creates nodes without endpoints; engines that are started later simulate faults in detail. */
+  SimulatedCluster(
+      int nodes, long seed, EntryConfiguration configuration, ForwardingLimits limits) {
     this.seed = seed;
     this.dataCentres = 1;
     this.configuration = configuration;
     this.limits = limits;
-    inDetail = true;
+    detailed = true;
     for (int i = 0; i < nodes; i++) {
       this.nodes.add(new Node(i));
     }
   }
 
-  /** One run of an engine. */
+  /** One incarnation of an engine. */
   private final class Engine {
     private final int number;
     private FleetEndpoint endpoint;
-    private final Set<Running> running = new LinkedHashSet<>();
+    private final Set<EngineRequest> activeRequests = new LinkedHashSet<>();
 
-    /** Came while it was silent. */
-    private final Set<Running> unread = new LinkedHashSet<>();
+    /** Requests that arrived while the engine was unresponsive. */
+    private final Set<EngineRequest> unreadRequests = new LinkedHashSet<>();
 
     private final EngineArrivals arrivals = new EngineArrivals();
     private final EngineBackoffs backoffs = new EngineBackoffs();
-    private OptionalInt turnsAwayForMillis = OptionalInt.empty();
-    private long standsStillUntil;
-    private long silentUntil;
-    private boolean fails;
+    private OptionalInt rejectionBackoffMillis = OptionalInt.empty();
+    private long stalledUntil;
+    private long unresponsiveUntil;
+    private boolean failing;
     private final EngineDrain drain = new EngineDrain();
-    private boolean ended;
+    private boolean stopped;
     private boolean replaced;
 
     Engine(int number) {
@@ -198,10 +199,10 @@
           number,
           SERVICE,
           Optional.of(LayerRange.of(0, LAYERS)),
-          inDetail ? Incarnation.startedAt(FIRST_START_MILLIS) : Incarnation.UNTOLD);
+          detailed ? Incarnation.startedAt(FIRST_START_MILLIS) : Incarnation.UNTOLD);
     }
 
-    Engine(int number, String service, Optional<LayerRange> layers, Incarnation run) {
+    Engine(int number, String service, Optional<LayerRange> layers, Incarnation incarnation) {
       this.number = number;
       endpoint =
           new FleetEndpoint(
@@ -214,11 +215,11 @@
               layers,
               service.equals(SERVICE) ? "large" : "",
               StorePosition.START,
-              run);
+              incarnation);
     }
 
-    /** Returns the next run of its process, under the same id; it holds nothing yet. */
-    Engine next() {
+    /** Returns the next incarnation under the same id, which holds no layers yet. */
+    Engine nextIncarnation() {
       long before = endpoint.incarnation().startedAt().orElse(0);
       return new Engine(
           number,
@@ -227,189 +228,190 @@
           Incarnation.startedAt(before + FIRST_START_MILLIS));
     }
 
-    private boolean holdsNothing() {
+    private boolean hasNoLayers() {
       return endpoint.service().equals(SERVICE) && endpoint.layers().isEmpty();
     }
 
-    private int events() {
-      return endpoint.service().equals(SERVICE) ? EVENTS : 1;
+    private int eventCount() {
+      return endpoint.service().equals(SERVICE) ? EVENT_COUNT : 1;
     }
 
-    boolean isSilent() {
-      return nowMillis() < silentUntil;
+    boolean isUnresponsive() {
+      return nowMillis() < unresponsiveUntil;
     }
 
-    /** Does something as soon as the engine is not silent; one that is so for good never does. */
-    private void whenAwake(Runnable work) {
-      if (!isSilent()) {
-        work.run();
-      } else if (silentUntil != FOR_GOOD) {
-        later((int) (silentUntil - nowMillis()), () -> whenAwake(work));
+    /** Runs a task once the engine is responsive; never if it is unresponsive forever. */
+    private void whenResponsive(Runnable task) {
+      if (!isUnresponsive()) {
+        task.run();
+      } else if (unresponsiveUntil != FOREVER) {
+        schedule((int) (unresponsiveUntil - nowMillis()), () -> whenResponsive(task));
       }
     }
 
-    void take(Running request) {
-      if (ended) {
-        request.sent.end(AttemptRecord.End.ENGINE_ENDED);
-        request.tell(() -> request.listener.failed(true, refused()));
-      } else if (silentUntil == FOR_GOOD) {
-        request.sent.end(AttemptRecord.End.ENGINE_ENDED);
-      } else if (isSilent()) {
-        unread.add(request);
-        whenAwake(() -> read(request));
-      } else if (inDetail) {
-        takeUnlessClosed(request);
+    void receive(EngineRequest request) {
+      if (stopped) {
+        request.record.finish(AttemptRecord.Outcome.ENGINE_ABORTED);
+        request.deliver(() -> request.listener.failed(true, refused()));
+      } else if (unresponsiveUntil == FOREVER) {
+        request.record.finish(AttemptRecord.Outcome.ENGINE_ABORTED);
+      } else if (isUnresponsive()) {
+        unreadRequests.add(request);
+        whenResponsive(() -> readPending(request));
+      } else if (detailed) {
+        acceptUnlessClosed(request);
       } else {
-        takeNow(request);
+        accept(request);
       }
     }
 
-    private void read(Running request) {
-      if (unread.remove(request)) {
-        takeUnlessClosed(request);
+    private void readPending(EngineRequest request) {
+      if (unreadRequests.remove(request)) {
+        acceptUnlessClosed(request);
       }
     }
 
-    private void takeUnlessClosed(Running request) {
-      if (request.isHeard() && !request.sent.isClosed()) {
-        takeNow(request);
+    private void acceptUnlessClosed(EngineRequest request) {
+      if (request.isSenderAlive() && !request.record.isClosed()) {
+        accept(request);
       }
     }
 
-    private void takeNow(Running request) {
-      backoffs.called(request.node, nowMillis());
+    private void accept(EngineRequest request) {
+      backoffs.recordCall(request.node, nowMillis());
       drain.arrived(request.node, nowMillis());
-      if (holdsNothing()) {
-        request.sent.end(AttemptRecord.End.TURNED_AWAY);
+      if (hasNoLayers()) {
+        request.record.finish(AttemptRecord.Outcome.REJECTED);
         Head head =
             new Head(
                 MISDIRECTED, true, true, Optional.of(endpoint.address()), EndpointStatement.NONE);
-        request.tell(() -> request.listener.head(head));
+        request.deliver(() -> request.listener.head(head));
         return;
       }
-      if (turnsAwayForMillis.isPresent()) {
-        request.sent.end(AttemptRecord.End.TURNED_AWAY);
-        Head head = turnedAway(request.node, request.isHeard());
-        request.tell(() -> request.listener.head(head));
+      if (rejectionBackoffMillis.isPresent()) {
+        request.record.finish(AttemptRecord.Outcome.REJECTED);
+        Head head = rejection(request.node, request.isSenderAlive());
+        request.deliver(() -> request.listener.head(head));
         return;
       }
       if (request.crashes()) {
         crashingArrivals.add(new Arrival(request.node, nowMillis()));
       }
       arrivals.arrived(request.node, nowMillis());
-      request.sent.take();
-      running.add(request);
-      later(BEGINS_AFTER_MILLIS, () -> begin(request));
+      request.record.start();
+      activeRequests.add(request);
+      schedule(START_DELAY_MILLIS, () -> startProcessing(request));
     }
 
-    private Head turnedAway(int node, boolean heard) {
-      StatedBackoff stated = StatedBackoff.none();
-      if (turnsAwayForMillis.getAsInt() > 0) {
-        if (heard) {
-          backoffs.asked(node, nowMillis(), turnsAwayForMillis.getAsInt());
+    private Head rejection(int node, boolean senderAlive) {
+      StatedBackoff backoff = StatedBackoff.none();
+      if (rejectionBackoffMillis.getAsInt() > 0) {
+        if (senderAlive) {
+          backoffs.requestBackoff(node, nowMillis(), rejectionBackoffMillis.getAsInt());
         }
-        stated = StatedBackoff.of(Duration.ofMillis(turnsAwayForMillis.getAsInt()));
+        backoff = StatedBackoff.of(Duration.ofMillis(rejectionBackoffMillis.getAsInt()));
       }
-      return Head.turnedAway(answer(node, heard).withBackoff(stated));
+      return Head.turnedAway(signal(node, senderAlive).withBackoff(backoff));
     }
 
-    /** Returns what the engine says of itself on each answer to a node, beside a backoff. */
-    private EndpointStatement answer(int node, boolean heard) {
-      EndpointStatement said = EndpointStatement.NONE.withLimit(arrivals.limit());
+    /** Returns the signal on each answer to a node, without a backoff. */
+    private EndpointStatement signal(int node, boolean senderAlive) {
+      EndpointStatement signal = EndpointStatement.NONE.withLimit(arrivals.limit());
       if (!drain.isLeaving()) {
-        return said;
+        return signal;
       }
-      if (heard) {
+      if (senderAlive) {
         drain.answered(node, nowMillis());
       }
-      return said.thatLeaves();
+      return signal.thatLeaves();
     }
 
-    private void begin(Running request) {
-      if (!running.contains(request)) {
+    private void startProcessing(EngineRequest request) {
+      if (!activeRequests.contains(request)) {
         return;
       }
-      if (isSilent()) {
-        whenAwake(() -> begin(request));
+      if (isUnresponsive()) {
+        whenResponsive(() -> startProcessing(request));
         return;
       }
-      if (fails) {
-        fail(request);
+      if (failing) {
+        failRequest(request);
         return;
       }
-      Head head = Head.of(200, answer(request.node, request.isHeard()));
-      request.tell(() -> request.listener.head(head));
+      Head head = Head.of(200, signal(request.node, request.isSenderAlive()));
+      request.deliver(() -> request.listener.head(head));
       arrivals.answered(request.node, nowMillis());
       if (request.crashes()) {
-        later(ENDS_AFTER_MILLIS, this::end);
+        schedule(CRASH_DELAY_MILLIS, this::crash);
       }
-      event(request, inDetail ? request.firstEvent() : 1);
+      sendEvent(request, detailed ? request.firstEvent() : 1);
     }
 
-    private void fail(Running request) {
-      running.remove(request);
-      request.sent.end(AttemptRecord.End.ENGINE_FAILED);
-      request.tell(() -> request.listener.head(Head.of(FAILURE)));
-      request.tell(request.listener::end);
+    private void failRequest(EngineRequest request) {
+      activeRequests.remove(request);
+      request.record.finish(AttemptRecord.Outcome.ENGINE_FAILED);
+      request.deliver(() -> request.listener.head(Head.of(FAILURE)));
+      request.deliver(request.listener::end);
     }
 
-    private void event(Running request, int number) {
-      if (!running.contains(request)) {
+    private void sendEvent(EngineRequest request, int number) {
+      if (!activeRequests.contains(request)) {
         return;
       }
-      if (nowMillis() < standsStillUntil) {
-        later((int) (standsStillUntil - nowMillis()), () -> event(request, number));
+      if (nowMillis() < stalledUntil) {
+        schedule((int) (stalledUntil - nowMillis()), () -> sendEvent(request, number));
         return;
       }
-      if (isSilent()) {
-        whenAwake(() -> event(request, number));
+      if (isUnresponsive()) {
+        whenResponsive(() -> sendEvent(request, number));
         return;
       }
-      if (request.waitsForAnother()) {
-        later(BLOCKED_LOOK_MILLIS, () -> event(request, number));
+      if (request.isBlocked()) {
+        schedule(BLOCKED_POLL_MILLIS, () -> sendEvent(request, number));
         return;
       }
       byte[] event = ("id: " + number + "\ndata: x\n\n").getBytes(UTF_8);
-      if (number <= events()) {
-        request.tell(() -> request.listener.data(event));
+      if (number <= eventCount()) {
+        request.deliver(() -> request.listener.data(event));
       }
-      if (number < events()) {
-        later(STEP_MILLIS, () -> event(request, number + 1));
+      if (number < eventCount()) {
+        schedule(EVENT_INTERVAL_MILLIS, () -> sendEvent(request, number + 1));
       } else {
-        running.remove(request);
-        request.sent.end(AttemptRecord.End.WHOLE);
-        request.tell(request.listener::end);
+        activeRequests.remove(request);
+        request.record.finish(AttemptRecord.Outcome.COMPLETED);
+        request.deliver(request.listener::end);
       }
     }
 
-    /** Breaks off what it runs. */
-    private void breakOff() {
-      List<Running> lost = ImmutableList.copyOf(Iterables.concat(running, unread));
-      running.clear();
-      unread.clear();
-      lost.forEach(request -> request.sent.end(AttemptRecord.End.ENGINE_ENDED));
+    /** Aborts all requests of this engine. */
+    private void abortRequests() {
+      List<EngineRequest> lost =
+          ImmutableList.copyOf(Iterables.concat(activeRequests, unreadRequests));
+      activeRequests.clear();
+      unreadRequests.clear();
+      lost.forEach(request -> request.record.finish(AttemptRecord.Outcome.ENGINE_ABORTED));
       lost.forEach(
           request ->
-              later(
-                  ON_THE_WAY_MILLIS,
+              schedule(
+                  NETWORK_DELAY_MILLIS,
                   () ->
-                      request.tell(
+                      request.deliver(
                           () -> request.listener.failed(false, new ClosedChannelException()))));
     }
 
-    /** Ends so that nothing comes any more, not even the end of its connections. */
-    private void dieSilently() {
-      Iterables.concat(running, unread)
-          .forEach(request -> request.sent.end(AttemptRecord.End.ENGINE_ENDED));
-      running.clear();
-      unread.clear();
-      silentUntil = FOR_GOOD;
-      replaceLater();
+    /** Stops without a sign to its peers: not even its connections are closed. */
+    private void stopSilently() {
+      Iterables.concat(activeRequests, unreadRequests)
+          .forEach(request -> request.record.finish(AttemptRecord.Outcome.ENGINE_ABORTED));
+      activeRequests.clear();
+      unreadRequests.clear();
+      unresponsiveUntil = FOREVER;
+      scheduleReplacement();
     }
 
-    private void replaceLater() {
-      later(
-          BACK_AFTER_MILLIS,
+    private void scheduleReplacement() {
+      schedule(
+          REPLACEMENT_DELAY_MILLIS,
           () -> {
             store.remove(ENTRIES + endpoint.id());
             replaced = true;
@@ -417,37 +419,37 @@
           });
     }
 
-    private void end() {
-      if (ended) {
+    private void crash() {
+      if (stopped) {
         return;
       }
-      ended = true;
-      ends.add(nowMillis());
-      breakOff();
-      replaceLater();
+      stopped = true;
+      crashTimes.add(nowMillis());
+      abortRequests();
+      scheduleReplacement();
     }
 
-    /** Ends, and starts again under its id. */
-    private void startAgain(int afterMillis) {
-      ended = true;
-      breakOff();
-      later(
+    /** Crashes, and starts a new incarnation under the same id. */
+    private void restart(int afterMillis) {
+      stopped = true;
+      abortRequests();
+      schedule(
           afterMillis,
           () -> {
-            Engine next = next();
+            Engine next = nextIncarnation();
             start(next);
-            later(LOADS_AFTER_MILLIS, () -> next.load(endpoint.layers()));
+            schedule(LAYER_LOAD_MILLIS, () -> next.loadLayers(endpoint.layers()));
           });
     }
 
-    private void load(Optional<LayerRange> layers) {
-      if (!ended) {
-        list(endpoint.leaving(), layers);
+    private void loadLayers(Optional<LayerRange> layers) {
+      if (!stopped) {
+        writeEntry(endpoint.leaving(), layers);
       }
     }
 
-    /** Writes its entry anew. */
-    private void list(boolean leaving, Optional<LayerRange> layers) {
+    /** Writes the engine's entry to the store. */
+    private void writeEntry(boolean leaving, Optional<LayerRange> layers) {
       endpoint =
           new FleetEndpoint(
               endpoint.id(),
@@ -465,7 +467,7 @@
 
     private ImmutableMap<String, HostPort> stalledOn() {
       ImmutableMap.Builder<String, HostPort> stalled = ImmutableMap.builder();
-      for (Running request : running) {
+      for (EngineRequest request : activeRequests) {
         request
             .blocker()
             .ifPresent(blocker -> stalled.put(request.attempt.request().id(), blocker));
@@ -473,39 +475,39 @@
       return stalled.buildKeepingLast();
     }
 
-    private Optional<Running> runs(String requestId) {
-      return running.stream()
+    private Optional<EngineRequest> findRequest(String requestId) {
+      return activeRequests.stream()
           .filter(request -> request.attempt.request().id().equals(requestId))
           .findFirst();
     }
   }
 
-  /** A crashing request reached an engine from a node. */
+  /** The arrival of a crashing request at an engine. */
   record Arrival(int node, long atMillis) {}
 
-  /** A request at an engine. */
-  private final class Running implements EndpointCalls.EndpointCall {
+  /** One attempt of a request at an engine. */
+  private final class EngineRequest implements EndpointCalls.EndpointCall {
     private final int node;
-    private final Node run;
+    private final Node sender;
     private final Attempt attempt;
     private final EndpointCalls.Listener listener;
-    private final AttemptRecord sent;
+    private final AttemptRecord record;
 
-    /** The engines of its path after the first, as they were when it came there. */
-    private ImmutableList<Engine> later = ImmutableList.of();
+    /** The incarnations of the later engines on the path, as of when the path was set. */
+    private ImmutableList<Engine> laterEngines = ImmutableList.of();
 
-    Running(int node, Node run, Attempt attempt, EndpointCalls.Listener listener) {
+    EngineRequest(int node, Node sender, Attempt attempt, EndpointCalls.Listener listener) {
       this.node = node;
-      this.run = run;
+      this.sender = sender;
       this.attempt = attempt;
       this.listener = listener;
-      sent = new AttemptRecord(attempt.endpoint().address(), nowMillis());
-      attempt.path().ifPresent(this::goOver);
+      record = new AttemptRecord(attempt.endpoint().address(), nowMillis());
+      attempt.path().ifPresent(this::setPath);
     }
 
-    /** Takes a path in the wire's form. */
-    private void goOver(String path) {
-      later =
+    /** Sets the path from its wire format. */
+    private void setPath(String path) {
+      laterEngines =
           Splitter.on(',')
               .splitToStream(path)
               .skip(1)
@@ -514,34 +516,34 @@
               .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns the later engine that it waits for, if any. */
+    /** Returns the first later engine that is down or unresponsive, if any. */
     private Optional<HostPort> blocker() {
-      return later.stream()
-          .filter(engine -> engine.ended || engine.isSilent())
+      return laterEngines.stream()
+          .filter(engine -> engine.stopped || engine.isUnresponsive())
           .map(engine -> engine.endpoint.address())
           .findFirst();
     }
 
-    boolean waitsForAnother() {
+    boolean isBlocked() {
       return blocker().isPresent();
     }
 
-    /** Tells its node something. */
-    void tell(Runnable news) {
-      run.clock.arrive(news);
+    /** Runs a callback on the event loop of the node that sent the request. */
+    void deliver(Runnable callback) {
+      sender.eventLoop.receive(callback);
     }
 
     int firstEvent() {
       return 1 + attempt.resumeAfter().map(Integer::parseInt).orElse(0);
     }
 
-    /** Returns whether the run of the node that sent it goes on, so that it hears the answer. */
-    boolean isHeard() {
-      return nodes.get(node) == run;
+    /** Returns whether the incarnation of the node that sent the request still runs. */
+    boolean isSenderAlive() {
+      return nodes.get(node) == sender;
     }
 
     boolean crashes() {
-      return ((Asked) attempt.request()).body().equals(CRASHING);
+      return ((SimulatedRequest) attempt.request()).body().equals(CRASHING);
     }
 
     @Override
@@ -551,9 +553,9 @@
 
     @Override
     public void cancel() {
-      Incarnation now = engines.get(attempt.endpoint().address()).endpoint.incarnation();
-      sent.close(now.isAfter(attempt.endpoint().incarnation()), nowMillis());
-      engines.values().forEach(engine -> engine.running.remove(this));
+      Incarnation current = engines.get(attempt.endpoint().address()).endpoint.incarnation();
+      record.close(current.isAfter(attempt.endpoint().incarnation()), nowMillis());
+      engines.values().forEach(engine -> engine.activeRequests.remove(this));
     }
 
     @Override
@@ -566,8 +568,9 @@
     public void resume() {}
   }
 
-  /** A caller's request; each repeat has an id of its own. */
-  record Asked(String id, String path, String body, Duration limit, RequestSize needs)
+  /** A caller's request. Callers that repeat a request give it a new id. */
+  record SimulatedRequest(
+      String id, String path, String body, Duration timeout, RequestSize expectedSize)
       implements CallerRequest {
     @Override
     public String host() {
@@ -581,12 +584,12 @@
 
     @Override
     public Optional<Duration> patience() {
-      return Optional.of(limit);
+      return Optional.of(timeout);
     }
 
     @Override
     public Optional<RequestSize> size() {
-      return Optional.of(needs);
+      return Optional.of(expectedSize);
     }
 
     @Override
@@ -595,42 +598,45 @@
     }
   }
 
-  /** One node. */
+  /** One incarnation of a node. */
   private final class Node implements EngineControl {
-    private final SimulatedEventLoop clock = new SimulatedEventLoop(SimulatedCluster.this.clock);
+    private final SimulatedEventLoop eventLoop =
+        new SimulatedEventLoop(SimulatedCluster.this.clock);
     private final Fleet fleet;
-    private EntryConfiguration known = configuration;
-    private final StoreLink link = new StoreLink(clock, store);
-    private final BoxTime time = new BoxTime(clock);
+    private EntryConfiguration active = configuration;
+    private final StoreLink link = new StoreLink(eventLoop, store);
+    private final BoxTime time = new BoxTime(eventLoop);
     private final Forwarder forwarder;
     private final LoadExchange exchange;
-    private final int place;
-    private BiConsumer<FleetEndpoint, EndpointStatement> statements = (engine, said) -> {};
+    private final int index;
+    private BiConsumer<FleetEndpoint, EndpointStatement> signalListener = (engine, signal) -> {};
 
-    /** Makes another run of the node at a place. */
-    Node(int place) {
-      this.place = place;
-      int number = runs++;
+    /** Starts a new incarnation of the node at an index. */
+    Node(int index) {
+      this.index = index;
+      int number = incarnations++;
       Random random = new Random(seed + number);
       Counters counters = Counters.in(meters);
-      fleet = Fleet.create(clock, counters, EntryNode.RELIST_GRACE);
+      fleet = Fleet.create(eventLoop, counters, EntryNode.RELIST_GRACE);
       onStatement(fleet.statements()::answeredCall);
       exchange =
           LoadExchange.create(
-              clock,
+              eventLoop,
               fleet,
-              boxAt(place),
-              dataCentre(place),
-              () -> peersOf(place),
+              boxAt(index),
+              dataCentre(index),
+              () -> peersOf(index),
               nodes::size,
-              () -> known.version(),
-              this::tell);
-      StartShares.keep(clock, random, fleet, boxAt(place), dataCentre(place), () -> peersOf(place));
+              () -> active.version(),
+              this::sendReport);
+      StartShares.keep(
+          eventLoop, random, fleet, boxAt(index), dataCentre(index), () -> peersOf(index));
       SharedQuarantine quarantine =
-          SharedQuarantine.create(clock, random, link, QUARANTINE, "n" + number, fleet, counters);
+          SharedQuarantine.create(
+              eventLoop, random, link, QUARANTINE, "n" + number, fleet, counters);
       PrefixFollower follower =
           PrefixFollower.create(
-              clock,
+              eventLoop,
               random,
               link,
               counters,
@@ -640,87 +646,88 @@
               PrefixRouter.of(
                   ImmutableMap.of(
                       ENTRIES,
-                      new EndpointListWatch(ENTRIES, SimulatedCluster.this::listed, fleet, counters),
+                      new EndpointListWatch(
+                          ENTRIES, SimulatedCluster.this::readEntry, fleet, counters),
                       QUARANTINE,
                       quarantine)),
               time.watch());
       forwarder =
           Forwarder.create(
-              clock,
+              eventLoop,
               random,
               fleet,
-              HealthWatch.create(clock, fleet, this),
+              HealthWatch.create(eventLoop, fleet, this),
               this,
-              (attempt, listener) -> send(place, this, attempt, listener),
+              (attempt, listener) -> sendAttempt(index, this, attempt, listener),
               quarantine,
               limits,
-              () -> Optional.of(known),
+              () -> Optional.of(active),
               follower::isConfirmedWithin,
               nodes::size,
-              dataCentre(place),
+              dataCentre(index),
               counters);
       follower.start();
       exchange.start();
     }
 
-    private int tell(HostPort peer, LoadReport report) {
+    private int sendReport(HostPort peer, LoadReport report) {
       byte[] bytes = LoadCodec.encode(report);
-      if (reportsAreLost) {
+      if (dropLoadReports) {
         return bytes.length;
       }
-      later(ON_THE_WAY_MILLIS, () -> nodes.get(peer.port() - PEER_PORT).hear(bytes));
+      schedule(NETWORK_DELAY_MILLIS, () -> nodes.get(peer.port() - PEER_PORT).receiveReport(bytes));
       return bytes.length;
     }
 
-    /** Ends its process, and with it all its connections. */
-    private void end() {
-      clock.end();
+    /** Stops the process and closes all its connections. */
+    private void stop() {
+      eventLoop.stop();
       for (Engine engine : engines.values()) {
-        ImmutableList.copyOf(engine.running).stream()
-            .filter(request -> request.run == this)
-            .forEach(Running::cancel);
+        ImmutableList.copyOf(engine.activeRequests).stream()
+            .filter(request -> request.sender == this)
+            .forEach(EngineRequest::cancel);
       }
     }
 
-    private void hear(byte[] report) {
-      clock.arrive(() -> exchange.heard(LoadCodec.decode(report)));
+    private void receiveReport(byte[] report) {
+      eventLoop.receive(() -> exchange.heard(LoadCodec.decode(report)));
     }
 
-    private void configure(EntryConfiguration next, ForwardingLimits bounds) {
-      known = next;
-      forwarder.limits(bounds);
+    private void configure(EntryConfiguration next, ForwardingLimits nextLimits) {
+      active = next;
+      forwarder.limits(nextLimits);
     }
 
     @Override
     public void onStatement(BiConsumer<FleetEndpoint, EndpointStatement> listener) {
-      statements = listener;
+      signalListener = listener;
     }
 
-    /** Notes that a question or an order reaches an engine; returns whether it turns it away. */
-    private boolean isTurnedAway(FleetEndpoint endpoint) {
-      if (nodes.get(place) != this) { // What a run that has ended still asks goes nowhere.
+    /** Records a status call or an order at an engine; returns whether the engine rejects it. */
+    private boolean isRejected(FleetEndpoint endpoint) {
+      if (nodes.get(index) != this) { // Drops the calls of an incarnation that has stopped.
         return true;
       }
       Engine engine = engines.get(endpoint.address());
-      engine.backoffs.called(place, nowMillis());
-      boolean turnedAway = engine.turnsAwayForMillis.isPresent();
-      EndpointStatement said =
-          turnedAway ? engine.turnedAway(place, true).statement() : engine.answer(place, true);
-      statements.accept(endpoint, said);
-      return turnedAway;
+      engine.backoffs.recordCall(index, nowMillis());
+      boolean rejected = engine.rejectionBackoffMillis.isPresent();
+      EndpointStatement signal =
+          rejected ? engine.rejection(index, true).statement() : engine.signal(index, true);
+      signalListener.accept(endpoint, signal);
+      return rejected;
     }
 
     @Override
-    public CompletableFuture<EngineReport> report(FleetEndpoint engine, Duration limit) {
-      return inDetail ? call(engine, limit, () -> reportNow(engine)) : reportNow(engine);
+    public CompletableFuture<EngineReport> report(FleetEndpoint engine, Duration timeout) {
+      return detailed ? call(engine, timeout, () -> reportNow(engine)) : reportNow(engine);
     }
 
     private CompletableFuture<EngineReport> reportNow(FleetEndpoint endpoint) {
       Engine engine = engines.get(endpoint.address());
-      if (engine.ended) {
+      if (engine.stopped) {
         return CompletableFuture.failedFuture(refused());
       }
-      if (isTurnedAway(endpoint)) {
+      if (isRejected(endpoint)) {
         return CompletableFuture.failedFuture(new TurnedAwayException());
       }
       return CompletableFuture.completedFuture(
@@ -733,30 +740,31 @@
               engine.endpoint.incarnation()));
     }
 
-    /** Asks an engine something, which takes time and fails if that is over the limit. */
+    /** Calls an engine over the simulated network; fails if the call exceeds its timeout. */
     private <T> CompletableFuture<T> call(
-        FleetEndpoint endpoint, Duration limit, Supplier<CompletableFuture<T>> answer) {
-      CompletableFuture<T> told = new CompletableFuture<>();
-      clock.schedule(() -> told.completeExceptionally(new TimeoutException()), limit);
-      later(
-          ON_THE_WAY_MILLIS,
-          () -> engines.get(endpoint.address()).whenAwake(() -> tell(told, answer.get())));
-      return told;
-    }
-
-    private <T> void tell(CompletableFuture<T> told, CompletableFuture<T> answer) {
-      later(
-          ON_THE_WAY_MILLIS,
+        FleetEndpoint endpoint, Duration timeout, Supplier<CompletableFuture<T>> answer) {
+      CompletableFuture<T> result = new CompletableFuture<>();
+      eventLoop.schedule(() -> result.completeExceptionally(new TimeoutException()), timeout);
+      schedule(
+          NETWORK_DELAY_MILLIS,
           () ->
-              clock.arrive(
+              engines.get(endpoint.address()).whenResponsive(() -> deliver(result, answer.get())));
+      return result;
+    }
+
+    private <T> void deliver(CompletableFuture<T> result, CompletableFuture<T> answer) {
+      schedule(
+          NETWORK_DELAY_MILLIS,
+          () ->
+              eventLoop.receive(
                   () ->
                       Async.ignore(
                           answer.whenComplete(
                               (value, failure) -> {
                                 if (failure == null) {
-                                  told.complete(value);
+                                  result.complete(value);
                                 } else {
-                                  told.completeExceptionally(failure);
+                                  result.completeExceptionally(failure);
                                 }
                               }))));
     }
@@ -764,29 +772,29 @@
     @Override
     public CompletableFuture<OrderOutcome> hold(
         FleetEndpoint engine, LayerRange layers, OrderGuard guard) {
-      boolean taken = !isTurnedAway(engine);
+      boolean accepted = !isRejected(engine);
       return CompletableFuture.completedFuture(
-          taken ? OrderOutcome.ACCEPTED : OrderOutcome.REFUSED);
+          accepted ? OrderOutcome.ACCEPTED : OrderOutcome.REFUSED);
     }
 
     @Override
     public CompletableFuture<RepathOutcome> repath(
         FleetEndpoint first, String requestId, String path) {
-      return inDetail
-          ? call(first, REPATH_LIMIT, () -> repathNow(first, requestId, path))
+      return detailed
+          ? call(first, REPATH_TIMEOUT, () -> repathNow(first, requestId, path))
           : repathNow(first, requestId, path);
     }
 
     private CompletableFuture<RepathOutcome> repathNow(
         FleetEndpoint first, String requestId, String path) {
       Engine engine = engines.get(first.address());
-      if (engine.ended) {
+      if (engine.stopped) {
         return CompletableFuture.failedFuture(refused());
       }
       RepathOutcome.Kind kind = RepathOutcome.Kind.REFUSED;
-      if (!isTurnedAway(first)) {
-        Optional<Running> request = engine.runs(requestId);
-        request.ifPresent(run -> run.goOver(path));
+      if (!isRejected(first)) {
+        Optional<EngineRequest> request = engine.findRequest(requestId);
+        request.ifPresent(active -> active.setPath(path));
         kind =
             request.isPresent() ? RepathOutcome.Kind.ACCEPTED : RepathOutcome.Kind.UNKNOWN_REQUEST;
       }
@@ -814,18 +822,18 @@
           Map.of(KEY, new Caller("scheme", OptionalInt.empty())),
           new EntryLimits(16_384, 1 << 20, Duration.ofSeconds(3), Duration.ofSeconds(15)));
 
-  private static String boxAt(int place) {
-    return "box-" + place;
+  private static String boxAt(int index) {
+    return "box-" + index;
   }
 
-  private String dataCentre(int place) {
-    return "dc" + (1 + place % dataCentres);
+  private String dataCentre(int index) {
+    return "dc" + (1 + index % dataCentres);
   }
 
-  /** Returns the other nodes, as each would find them in the store. */
-  private ImmutableList<Peer> peersOf(int place) {
+  /** Returns all nodes but one, as that node would read them from the store. */
+  private ImmutableList<Peer> peersOf(int index) {
     return IntStream.range(0, nodes.size())
-        .filter(other -> other != place)
+        .filter(other -> other != index)
         .mapToObj(
             other ->
                 new Peer(
@@ -838,24 +846,24 @@
   }
 
   private void startEngine() {
-    start(new Engine(++started));
+    start(new Engine(++startedEngines));
   }
 
   private void startEngine(String service, Optional<LayerRange> layers) {
-    if (inDetail) {
-      Incarnation run = Incarnation.startedAt(FIRST_START_MILLIS);
-      start(new Engine(++started, service, layers, run));
+    if (detailed) {
+      Incarnation incarnation = Incarnation.startedAt(FIRST_START_MILLIS);
+      start(new Engine(++startedEngines, service, layers, incarnation));
     } else {
       startEngine();
     }
   }
 
-  /** Starts an engine that holds these layers. */
+  /** Starts an engine that holds a range of layers. */
   void startEngine(int from, int to) {
     startEngine(SERVICE, Optional.of(LayerRange.of(from, to)));
   }
 
-  /** Starts an endpoint of the service whose requests run at one. */
+  /** Starts an endpoint of the service whose requests need a single endpoint. */
   void startReplica() {
     startEngine(REPLICATED, Optional.empty());
   }
@@ -865,147 +873,155 @@
     store.put(ENTRIES + engine.endpoint.id(), engine.endpoint.address().toString());
   }
 
-  private FleetEndpoint listed(StoredItem item) {
+  private FleetEndpoint readEntry(StoredItem item) {
     return engines.get(HostPort.parse(item.value())).endpoint;
   }
 
-  private EndpointCalls.EndpointCall send(
-      int place, Node run, Attempt attempt, EndpointCalls.Listener listener) {
-    Running request = new Running(place, run, attempt, listener);
+  private EndpointCalls.EndpointCall sendAttempt(
+      int index, Node sender, Attempt attempt, EndpointCalls.Listener listener) {
+    EngineRequest request = new EngineRequest(index, sender, attempt, listener);
     Engine engine = engines.get(attempt.endpoint().address());
-    if (nodes.get(place) == run) { // What a run that has ended still sends goes nowhere.
-      sends.computeIfAbsent(attempt.request().id(), id -> new ArrayList<>()).add(request.sent);
-      sendListener.accept(place, attempt.request().id());
-      later(ON_THE_WAY_MILLIS, () -> engine.take(request));
+    if (nodes.get(index) == sender) { // Drops the requests of an incarnation that has stopped.
+      attempts.computeIfAbsent(attempt.request().id(), id -> new ArrayList<>()).add(request.record);
+      sendListener.accept(index, attempt.request().id());
+      schedule(NETWORK_DELAY_MILLIS, () -> engine.receive(request));
     }
     return request;
   }
 
-  /** Asks a node. */
-  Got ask(int node, String body) {
-    Got got = new Got();
-    RequestSize needs = new RequestSize(800, 200);
-    Asked request = new Asked("q" + asked++, "/letters/", body, Duration.ofSeconds(20), needs);
-    nodes.get(node % nodes.size()).forwarder.take(request, got);
-    return got;
+  /** Sends a node a request with the given body; returns the response as it arrives. */
+  Got sendRequest(int node, String body) {
+    Got response = new Got();
+    RequestSize expectedSize = new RequestSize(800, 200);
+    SimulatedRequest request =
+        new SimulatedRequest(
+            "q" + sentRequests++, "/letters/", body, Duration.ofSeconds(20), expectedSize);
+    nodes.get(node % nodes.size()).forwarder.take(request, response);
+    return response;
   }
 
-  /** Sends a node a request; hands over what it is told of the caller from then on. */
-  void ask(int place, Asked request, CallerAnswer answer, Consumer<CallerAnswer.Flow> onTaken) {
-    Node node = nodes.get(place);
-    node.clock.arrive(() -> onTaken.accept(node.forwarder.take(request, answer)));
+  /** Sends a node a request; hands over the node's listener for events of the caller. */
+  void sendRequest(
+      int index,
+      SimulatedRequest request,
+      CallerAnswer response,
+      Consumer<CallerAnswer.Flow> onTaken) {
+    Node node = nodes.get(index);
+    node.eventLoop.receive(() -> onTaken.accept(node.forwarder.take(request, response)));
   }
 
-  /** Does something at a node, or as soon as it goes on. */
-  void atNode(int node, Runnable work) {
-    nodes.get(node).clock.arrive(work);
+  /** Runs a task on a node's event loop, which may be stalled. */
+  void runAtNode(int node, Runnable task) {
+    nodes.get(node).eventLoop.receive(task);
   }
 
-  /** Calls back with the node and the request's id before a request is sent to an engine. */
-  void onSend(BiConsumer<Integer, String> listener) {
+  /** Sets a listener that gets the node and the request's id before each attempt is sent. */
+  void onAttempt(BiConsumer<Integer, String> listener) {
     sendListener = listener;
   }
 
-  /** Returns how a request was sent to engines, in order. */
-  ImmutableList<AttemptRecord> sendsOf(String id) {
-    return ImmutableList.copyOf(sends.getOrDefault(id, ImmutableList.of()));
+  /** Returns the attempts of a request, in the order in which they were sent. */
+  ImmutableList<AttemptRecord> attemptsOf(String id) {
+    return ImmutableList.copyOf(attempts.getOrDefault(id, ImmutableList.of()));
   }
 
-  /** A node stands still for a time: it runs and reads nothing. */
-  void nodeStandsStill(int node, int millis) {
-    nodes.get(node).clock.standStill(millis);
+  /** Stalls a node's event loop: it runs no timers and reads nothing. */
+  void stallNode(int node, int millis) {
+    nodes.get(node).eventLoop.stall(millis);
   }
 
-  /** Returns for how long a node has stood still. */
-  long stoodStillMillis(int node) {
-    return nodes.get(node).clock.stoodStillMillis();
+  /** Returns for how long a node has been stalled in total. */
+  long stalledMillis(int node) {
+    return nodes.get(node).eventLoop.stalledMillis();
   }
 
-  /** A node takes a configuration and bounds. */
-  void configure(int node, EntryConfiguration next, ForwardingLimits bounds) {
+  /** Sets the configuration and the forwarding limits of a node. */
+  void configure(int node, EntryConfiguration next, ForwardingLimits nextLimits) {
     configuration = next;
-    limits = bounds;
-    Node at = nodes.get(node);
-    at.clock.arrive(() -> at.configure(next, bounds));
+    limits = nextLimits;
+    Node target = nodes.get(node);
+    target.eventLoop.receive(() -> target.configure(next, nextLimits));
   }
 
-  /** Returns the places of engines that work, full and silent ones included. */
-  ImmutableList<Integer> working() {
+  /** Returns the indexes of engines that run, including full and paused ones. */
+  ImmutableList<Integer> workingEngines() {
     ImmutableList<Engine> all = ImmutableList.copyOf(engines.values());
     return IntStream.range(0, all.size())
-        .filter(place -> !all.get(place).ended && all.get(place).silentUntil != FOR_GOOD)
+        .filter(index -> !all.get(index).stopped && all.get(index).unresponsiveUntil != FOREVER)
         .boxed()
         .collect(ImmutableList.toImmutableList());
   }
 
-  /** Returns the place of the endpoint at an address. */
-  int placeOf(HostPort address) {
+  /** Returns the index of the endpoint at an address. */
+  int engineIndexOf(HostPort address) {
     return ImmutableList.copyOf(engines.keySet()).indexOf(address);
   }
 
-  /** An engine gives no sign of life for a time, and then goes on. */
-  void pauses(int place, int millis) {
-    engineAt(place).silentUntil = nowMillis() + millis;
+  /** Makes an engine unresponsive for a time, after which it resumes its work. */
+  void pauseEngine(int index, int millis) {
+    engineAt(index).unresponsiveUntil = nowMillis() + millis;
   }
 
-  /** An engine ends with all that it runs; another takes its place. */
-  void breaksDown(int place) {
-    engineAt(place).end();
+  /** Crashes an engine, which loses all its requests; a replacement starts later. */
+  void crashEngine(int index) {
+    engineAt(index).crash();
   }
 
-  /** The same, but nobody is told and its connections stay. */
-  void diesSilently(int place) {
-    engineAt(place).dieSilently();
+  /** Stops an engine without closing its connections; a replacement starts later. */
+  void stopEngineSilently(int index) {
+    engineAt(index).stopSilently();
   }
 
-  /** An engine ends and starts again under its id. */
-  void startsAgain(int place, int afterMillis) {
-    engineAt(place).startAgain(afterMillis);
+  /** Crashes an engine, and starts it again under the same id. */
+  void restartEngine(int index, int afterMillis) {
+    engineAt(index).restart(afterMillis);
   }
 
-  /** An engine breaks off all that it runs, and works on. */
-  void breaksOff(int place) {
-    engineAt(place).breakOff();
+  /** Makes an engine abort all its requests; it keeps running. */
+  void abortRequests(int index) {
+    engineAt(index).abortRequests();
   }
 
-  /** An engine says in its entry that it leaves, and ends some time later. */
-  void leavesByEntry(int place, int endsAfterMillis) {
-    Engine engine = engineAt(place);
-    engine.list(true, engine.endpoint.layers());
-    later(endsAfterMillis, engine::end);
+  /** Announces in an engine's entry that it leaves; it stops some time later. */
+  void announceLeavingInEntry(int index, int stopsAfterMillis) {
+    Engine engine = engineAt(index);
+    engine.writeEntry(true, engine.endpoint.layers());
+    schedule(stopsAfterMillis, engine::crash);
   }
 
-  /** Whether an engine answers with failures from now on. */
-  void fails(int place, boolean value) {
-    engineAt(place).fails = value;
+  /** Sets whether an engine answers requests with a failure status. */
+  void setFailing(int index, boolean value) {
+    engineAt(index).failing = value;
   }
 
-  /** Returns what nodes and engines still keep of requests; nothing once all are over. */
-  ImmutableList<String> leftOver() {
-    ImmutableList.Builder<String> left = ImmutableList.builder();
+  /** Describes state that nodes and engines still hold for requests; empty if all released it. */
+  ImmutableList<String> unreleasedState() {
+    ImmutableList.Builder<String> unreleased = ImmutableList.builder();
     for (Node node : nodes) {
       if (node.forwarder.inFlight() > 0) {
-        left.add("node " + node.place + " has " + node.forwarder.inFlight() + " requests");
+        unreleased.add(
+            "node " + node.index + " has " + node.forwarder.inFlight() + " requests in flight");
       }
-      for (TrackedEndpoint known : node.fleet.all()) {
-        if (known.inFlight() != 0 || Math.abs(known.reservedTokenLayers()) > 1e-3) {
-          left.add("node " + node.place + " has reserved a place at " + known);
+      for (TrackedEndpoint tracked : node.fleet.all()) {
+        if (tracked.inFlight() != 0 || Math.abs(tracked.reservedTokenLayers()) > 1e-3) {
+          unreleased.add("node " + node.index + " still holds a reservation at " + tracked);
         }
       }
     }
     for (Engine engine : engines.values()) {
-      if (!engine.running.isEmpty()) {
-        left.add(engine.endpoint.id() + " runs " + engine.running.size() + " requests");
+      if (!engine.activeRequests.isEmpty()) {
+        unreleased.add(
+            engine.endpoint.id() + " still runs " + engine.activeRequests.size() + " requests");
       }
     }
-    return left.build();
+    return unreleased.build();
   }
 
-  /** Starts another run of a node, which knows nothing of before. */
+  /** Restarts a node; the new incarnation starts without the state of the former one. */
   void restartNode(int node) {
     nodes.get(node).exchange.stop();
-    if (inDetail) {
-      nodes.get(node).end();
+    if (detailed) {
+      nodes.get(node).stop();
     }
     nodes.set(node, new Node(node));
     for (Engine engine : engines.values()) {
@@ -1015,13 +1031,13 @@
     }
   }
 
-  /** The store is as it was when it was copied; engines list themselves again a moment later. */
-  void storeComesBack() {
+  /** Restores the store from its backup; engines write their entries again a little later. */
+  void restoreStore() {
     store.comeBackFromCopy();
-    later(RELISTED_AFTER_MILLIS, this::listEngines);
+    schedule(RELIST_DELAY_MILLIS, this::relistEngines);
   }
 
-  private void listEngines() {
+  private void relistEngines() {
     for (Engine engine : engines.values()) {
       String key = ENTRIES + engine.endpoint.id();
       if (engine.replaced && store.has(key)) {
@@ -1032,57 +1048,55 @@
     }
   }
 
-  /** Suspends a node's box for a time, or steps its time of day; both look alike to it. */
-  void timeOfDayMoves(int node, int millis) {
+  /** Steps the time of day at a node, which can't tell that from a suspension of its box. */
+  void stepTimeOfDay(int node, int millis) {
     nodes.get(node).time.step(millis);
   }
 
-  /** Cuts a node off from the store, or opens its way again. */
-  void cutFromStore(int node, boolean cut) {
-    nodes.get(node).link.cut(cut);
+  /** Disconnects a node from the store, or connects it again. */
+  void setStoreDisconnected(int node, boolean disconnected) {
+    nodes.get(node).link.cut(disconnected);
   }
 
   /**
-   * An engine turns all calls away from now on, as full.
+   * Makes an engine reject all calls because it is full.
    *
-   * @param backoffMillis for how long it wants no more of that node; 0 if it names no time
+   * @param backoffMillis the backoff that it requests of each node, or 0 for none
    */
-  void turnsAway(int place, int backoffMillis) {
-    engineAt(place).turnsAwayForMillis = OptionalInt.of(backoffMillis);
+  void rejectCalls(int index, int backoffMillis) {
+    engineAt(index).rejectionBackoffMillis = OptionalInt.of(backoffMillis);
   }
 
-  /** An engine takes calls again. */
-  void takesAgain(int place) {
-    engineAt(place).turnsAwayForMillis = OptionalInt.empty();
+  /** Makes an engine accept calls again. */
+  void acceptCalls(int index) {
+    engineAt(index).rejectionBackoffMillis = OptionalInt.empty();
   }
 
-  /**
-   * An engine says in its answers that it leaves, but not in its entry, and ends some time later.
-   */
-  void leaves(int place, int endsAfterMillis) {
-    Engine engine = engineAt(place);
-    engine.drain.leaves();
-    later(endsAfterMillis, engine::end);
+  /** Announces in an engine's answers, but not in its entry, that it leaves; it stops later. */
+  void announceLeavingInAnswers(int index, int stopsAfterMillis) {
+    Engine engine = engineAt(index);
+    engine.drain.announceLeaving();
+    schedule(stopsAfterMillis, engine::crash);
   }
 
-  /** Returns the requests that reached an engine from nodes that it had told that it leaves. */
-  int arrivalsAfterLeaving(int place) {
-    return engineAt(place).drain.late();
+  /** Returns how many requests an engine got from nodes that knew that it leaves. */
+  int arrivalsAfterLeaving(int index) {
+    return engineAt(index).drain.lateArrivals();
   }
 
-  /** What runs at an engine makes no progress for a time. */
-  void standsStill(int place, int millis) {
-    engineAt(place).standsStillUntil = nowMillis() + millis;
+  /** Stalls the streams of an engine for a time. */
+  void stallStreams(int index, int millis) {
+    engineAt(index).stalledUntil = nowMillis() + millis;
   }
 
-  /** An engine's entry lapses, and is written again a moment later. */
-  void listsItselfAgain(int place, int afterMillis) {
-    FleetEndpoint endpoint = engineAt(place).endpoint;
+  /** Removes an engine's entry as if it had expired, and writes it again later. */
+  void relistEngine(int index, int afterMillis) {
+    FleetEndpoint endpoint = engineAt(index).endpoint;
     store.remove(ENTRIES + endpoint.id());
-    later(afterMillis, () -> store.put(ENTRIES + endpoint.id(), endpoint.address().toString()));
+    schedule(afterMillis, () -> store.put(ENTRIES + endpoint.id(), endpoint.address().toString()));
   }
 
-  /** Returns the calls of all nodes to engines that had asked for none, by purpose. */
+  /** Returns how many calls nodes made to engines during requested backoffs, by purpose. */
   ImmutableMap<String, Integer> callsDuringBackoffs() {
     return meters.find(Metric.BACKOFF_CALLS.meter()).counters().stream()
         .collect(
@@ -1090,26 +1104,26 @@
                 counter -> counter.getId().getTag("reason"), counter -> (int) counter.count()));
   }
 
-  /** Returns the calls that reached the engine that was started at that place. */
-  EngineBackoffs backoffsAt(int place) {
-    return engineAt(place).backoffs;
+  /** Returns the backoffs that an engine requested, and the calls that it got. */
+  EngineBackoffs backoffsAt(int index) {
+    return engineAt(index).backoffs;
   }
 
-  private Engine engineAt(int place) {
-    return ImmutableList.copyOf(engines.values()).get(place);
+  private Engine engineAt(int index) {
+    return ImmutableList.copyOf(engines.values()).get(index);
   }
 
-  /** Returns what reached the engine that was started at that place. */
-  EngineArrivals arrivalsAt(int place) {
-    return engineAt(place).arrivals;
+  /** Returns the requests that arrived at an engine. */
+  EngineArrivals arrivalsAt(int index) {
+    return engineAt(index).arrivals;
   }
 
-  /** Returns when engines ended, in milliseconds. */
-  ImmutableList<Long> ends() {
-    return ImmutableList.copyOf(ends);
+  /** Returns when engines crashed, in milliseconds. */
+  ImmutableList<Long> crashTimes() {
+    return ImmutableList.copyOf(crashTimes);
   }
 
-  /** Returns how often crashing requests reached an engine from that time on. */
+  /** Returns how many crashing requests arrived at engines since a time. */
   long crashingArrivalsFrom(long millis) {
     return crashingArrivals.stream().filter(arrival -> arrival.atMillis() >= millis).count();
   }
@@ -1127,7 +1141,7 @@
     clock.advance(Duration.ofMillis(millis));
   }
 
-  private void later(int millis, Runnable work) {
-    clock.schedule(work, millis, TimeUnit.MILLISECONDS);
+  private void schedule(int millis, Runnable task) {
+    clock.schedule(task, millis, TimeUnit.MILLISECONDS);
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedEventLoop.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedEventLoop.java
@@ -7,67 +7,68 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One node's event loop over a clock that nodes share; it may stand still for a time.
+ * One node's event loop, on a clock that all nodes share, which tests can stall.
  *
- * <p>Once it goes on, the timers that came due meanwhile run before what arrived meanwhile is read.
+ * <p>After a stall, timers that came due in the meantime run before messages that arrived in the
+ * meantime are read.
  */
 final class SimulatedEventLoop implements Executor {
   private final Executor clock;
-  private final Queue<Runnable> arrived = new ArrayDeque<>();
-  private long stillUntilNanos;
-  private long stoodStillNanos;
-  private boolean ended;
+  private final Queue<Runnable> received = new ArrayDeque<>();
+  private long stalledUntilNanos;
+  private long totalStalledNanos;
+  private boolean stopped;
 
   SimulatedEventLoop(Executor clock) {
     this.clock = clock;
   }
 
-  /** Runs nothing of the node for a time. */
-  void standStill(int millis) {
+  /** Stalls the event loop for a time; overlapping stalls don't add up. */
+  void stall(int millis) {
     long until = now() + TimeUnit.MILLISECONDS.toNanos(millis);
-    stoodStillNanos += Math.max(0, until - Math.max(stillUntilNanos, now()));
-    stillUntilNanos = Math.max(stillUntilNanos, until);
+    totalStalledNanos += Math.max(0, until - Math.max(stalledUntilNanos, now()));
+    stalledUntilNanos = Math.max(stalledUntilNanos, until);
   }
 
-  /** Returns for how long it has stood still, or will have after the present time. */
-  long stoodStillMillis() {
-    return TimeUnit.NANOSECONDS.toMillis(stoodStillNanos);
+  /** Returns the total time of all stalls, including the rest of the current one. */
+  long stalledMillis() {
+    return TimeUnit.NANOSECONDS.toMillis(totalStalledNanos);
   }
 
-  /** Runs nothing of the node any more. */
-  void end() {
-    ended = true;
-    arrived.clear();
+  /** Stops the event loop: it runs nothing more. */
+  void stop() {
+    stopped = true;
+    received.clear();
   }
 
-  /** Hands something over that came over the network, in the order in which it came. */
-  void arrive(Runnable work) {
-    if (ended) {
+  /** Handles a message from the network, in the order of arrival. */
+  void receive(Runnable task) {
+    if (stopped) {
       return;
     }
-    if (arrived.isEmpty() && !standsStill()) {
-      work.run();
+    if (received.isEmpty() && !isStalled()) {
+      task.run();
       return;
     }
-    arrived.add(work);
-    if (arrived.size() == 1) {
-      readLater();
+    received.add(task);
+    if (received.size() == 1) {
+      scheduleRead();
     }
   }
 
-  private void readLater() {
-    // One nanosecond later than the timers that were held up.
-    clock.schedule(this::readArrived, stillUntilNanos + 1 - now(), TimeUnit.NANOSECONDS);
+  private void scheduleRead() {
+    // One nanosecond after the delayed timers.
+    clock.schedule(this::readReceived, stalledUntilNanos + 1 - now(), TimeUnit.NANOSECONDS);
   }
 
-  private void readArrived() {
-    while (!arrived.isEmpty()) {
-      if (standsStill()) {
-        readLater();
+  private void readReceived() {
+    while (!received.isEmpty()) {
+      if (isStalled()) {
+        scheduleRead();
         return;
       }
-      arrived.peek().run();
-      arrived.poll();
+      received.peek().run();
+      received.poll();
     }
   }
 
@@ -82,40 +83,40 @@
   }
 
   @Override
-  public Cancellable schedule(Runnable work, long delay, TimeUnit unit) {
-    Timer timer = new Timer(work);
+  public Cancellable schedule(Runnable task, long delay, TimeUnit unit) {
+    Timer timer = new Timer(task);
     clock.schedule(timer, delay, unit);
     return timer;
   }
 
-  /** Work that waits for its time, and then for the node. */
+  /** A timer that waits for its time, and then for the end of a stall. */
   private final class Timer implements Runnable, Cancellable {
-    private Runnable work;
+    private Runnable task;
 
-    Timer(Runnable work) {
-      this.work = work;
+    Timer(Runnable task) {
+      this.task = task;
     }
 
     @Override
     public void run() {
-      if (ended) {
+      if (stopped) {
         return;
       }
-      if (standsStill()) {
-        clock.schedule(this, stillUntilNanos - now(), TimeUnit.NANOSECONDS);
+      if (isStalled()) {
+        clock.schedule(this, stalledUntilNanos - now(), TimeUnit.NANOSECONDS);
       } else {
-        work.run();
+        task.run();
       }
     }
 
     @Override
     public void cancel() {
-      work = () -> {};
+      task = () -> {};
     }
   }
 
-  private boolean standsStill() {
-    return now() < stillUntilNanos;
+  private boolean isStalled() {
+    return now() < stalledUntilNanos;
   }
 
   private long now() {
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulationConfiguration.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulationConfiguration.java
@@ -15,19 +15,19 @@
 import org.vaneworks.state.entry.WeightedService;
 import org.vaneworks.tests.placement.Models;
 
-/** A configuration with a route for each kind of request, with one attempt and with two. */
+/** A configuration with two routes for each kind of call, which allow one and two attempts. */
 final class SimulationConfiguration {
   private static final ImmutableList<CallKind> KINDS = ImmutableList.copyOf(CallKind.values());
-  private static final int MOST_ATTEMPTS = 2;
-  private static final Duration STREAM_LIMIT = Duration.ofSeconds(20);
-  private static final Duration PLAIN_LIMIT = Duration.ofMillis(800);
+  private static final int MAX_ATTEMPTS = 2;
+  private static final Duration STREAM_TIMEOUT = Duration.ofSeconds(20);
+  private static final Duration CALL_TIMEOUT = Duration.ofMillis(800);
 
   private SimulationConfiguration() {}
 
   /**
-   * Returns a version of it.
+   * Returns a version of the configuration.
    *
-   * @param idleMillis how long connections may rest
+   * @param idleMillis the idle timeout of connections
    */
   static EntryConfiguration of(int version, int idleMillis) {
     return EntryConfiguration.of(
@@ -40,18 +40,18 @@
         new EntryLimits(16_384, 1 << 20, Duration.ofSeconds(3), Duration.ofMillis(idleMillis)));
   }
 
-  /** Returns its routes. */
+  /** Returns the routes of the configuration. */
   static ImmutableList<EntryRoute> routes() {
     ImmutableList.Builder<EntryRoute> routes = ImmutableList.builder();
     for (CallKind kind : KINDS) {
-      for (int attempts = 1; attempts <= MOST_ATTEMPTS; attempts++) {
+      for (int attempts = 1; attempts <= MAX_ATTEMPTS; attempts++) {
         routes.add(route(kind, attempts));
       }
     }
     return routes.build();
   }
 
-  /** Returns the route of a kind with that many attempts. */
+  /** Returns the route of a kind of call that allows a number of attempts. */
   static EntryRoute route(CallKind kind, int attempts) {
     String prefix = "/" + kind + "/" + attempts + "/";
     boolean streamed = kind.streamed();
@@ -61,7 +61,7 @@
         "host.example",
         prefix,
         kind,
-        streamed ? STREAM_LIMIT : PLAIN_LIMIT,
+        streamed ? STREAM_TIMEOUT : CALL_TIMEOUT,
         Duration.ofMillis(500),
         Duration.ofMillis(200),
         0,
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StopPlanTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StopPlanTest.java
@@ -6,42 +6,45 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Checks what a node does at which time of a planned stop. */
+/** Checks the timeline of a planned stop. */
 final class StopPlanTest {
   private static final Duration GRACE = Duration.ofSeconds(8);
 
-  /** When the balancer has taken a node out for sure: it asks each second, and two misses count. */
-  private static final Duration TAKEN_OUT = Duration.ofSeconds(2);
+  /** The load balancer has removed the node by then: two checks fail, one second apart. */
+  private static final Duration BALANCER_REMOVAL = Duration.ofSeconds(2);
 
-  /** Callers that send later than this after the signal are promised an answer. */
-  private static final Duration LAST_WITHOUT_PROMISE = Duration.ofSeconds(3);
+  /**
+   * A request that is sent later than this after the signal must get an answer if the node accepts
+   * it.
+   */
+  private static final Duration ANSWER_GUARANTEED_AFTER = Duration.ofSeconds(3);
 
-  /** From the signal until the node's event loop begins to stop. */
-  private static final Duration SIGNAL = Duration.ofMillis(100);
+  /** From the signal until the node's event loop starts the stop. */
+  private static final Duration SIGNAL_DELAY = Duration.ofMillis(100);
 
   private final StopPlan plan = StopPlan.within(GRACE);
 
-  // Guards against streams that are cut at the end of a stop as they were taken late in it.
+  // Guards against streams that are accepted too late and aborted at the end of the stop.
   @Test
-  void nothingIsTakenThatCallersSendAfterTheBalancersLag() {
-    Duration latest = LAST_WITHOUT_PROMISE.minus(SIGNAL).minus(StopPlan.CHECK);
+  void noRequestIsAcceptedAfterTheBalancerLag() {
+    Duration latest = ANSWER_GUARANTEED_AFTER.minus(SIGNAL_DELAY).minus(StopPlan.CHECK);
     assertFalse(plan.takesNew(latest.plusMillis(1)));
     assertTrue(plan.closesIdle(latest.plusMillis(1)));
   }
 
   @Test
-  void requestsAreTakenUntilTheBalancerSendsNoMore() {
-    assertTrue(plan.takesNew(TAKEN_OUT.plusMillis(500)));
-    assertFalse(plan.closesIdle(TAKEN_OUT.plusMillis(500)));
+  void requestsAreAcceptedUntilTheBalancerHasRemovedTheNode() {
+    assertTrue(plan.takesNew(BALANCER_REMOVAL.plusMillis(500)));
+    assertFalse(plan.closesIdle(BALANCER_REMOVAL.plusMillis(500)));
   }
 
   @Test
-  void nothingIsTakenInTheSecondHalfOfAShortGrace() {
+  void noRequestIsAcceptedInTheSecondHalfOfAShortGrace() {
     assertFalse(StopPlan.within(Duration.ofSeconds(2)).takesNew(Duration.ofMillis(1001)));
   }
 
   @Test
-  void processEndsBeforeItIsEndedByForce() {
+  void processStopsBeforeItIsKilled() {
     assertFalse(plan.isOver(Duration.ofSeconds(7)));
     assertTrue(plan.isOver(GRACE.minusMillis(400)));
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreDisconnectTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreDisconnectTest.java
@@ -8,16 +8,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks which endpoints get new work after a node has lost the store for a while.
+ * Checks which endpoints get new work after a node was disconnected from the store for a while.
  *
- * <p>The incident behind it. Seen: a plain service's requests reached an endpoint 13 to 17 s after
- * it had left the list, each time from a node that had just become ready again. How it came about:
- * the node alone was cut off from the store for ten seconds; the endpoint left meanwhile, without
- * an announcement, and went on serving. Cause: after a failed call the node took each missing entry
- * for one that had lapsed in an outage of the store and kept its endpoint in use for 2.5 s,
- * although the store had been away for this node only. Proof: the log named the endpoint as kept at
- * the node's first view after the cut, and as dropped when the 2.5 s were over; nodes that were not
- * cut off dropped it at once.
+ * <p>Guards against an incident in which requests of a plain service reached an endpoint 13 to 17 s
+ * after it had left the list, each time from a node that had just become ready again. That node
+ * alone had been disconnected from the store for ten seconds; meanwhile the endpoint left without
+ * an announcement and kept serving. After a failed call, the node assumed that every missing entry
+ * had expired in an outage of the store and kept its endpoint in use for 2.5 s, although the store
+ * had been unavailable to this node only. Its log showed the endpoint as kept at the first read
+ * after the disconnect and as dropped 2.5 s later, while the other nodes dropped it at once.
  */
 final class StoreDisconnectTest {
   private final FleetWatchFixture node = new FleetWatchFixture(5);
@@ -28,29 +27,29 @@
     node.advance(1000);
   }
 
-  /** Lets time pass until the view is confirmed by a call that was asked from now on. */
-  private void awaitView() {
+  /** Advances the clock until a call that starts from now on has confirmed the snapshot. */
+  private void awaitSnapshot() {
     long from = node.clock.currentTime(TimeUnit.NANOSECONDS);
     for (int waited = 0; node.follower.confirmedAt() < from; waited += 10) {
-      assertTrue(waited < 3000, "no view after " + waited + " ms");
+      assertTrue(waited < 3000, "no snapshot after " + waited + " ms");
       node.advance(10);
     }
   }
 
   @Test
-  void endpointThatLeftWhileOnlyThisNodeWasCutOffGetsNoNewWork() {
+  void endpointThatLeftDuringADisconnectGetsNoNewWork() {
     follow();
     node.link.cut(true);
     node.advance(3000);
     node.unlist("c");
     node.advance(7000);
     node.link.cut(false);
-    awaitView();
+    awaitSnapshot();
     assertEquals(ImmutableSet.of("a", "b"), node.usable());
   }
 
   @Test
-  void endpointThatLeftWhileOnlyThisNodeWasCutOffGetsNoNewWorkAfterAWholeRead() {
+  void endpointThatLeftDuringADisconnectGetsNoNewWorkAfterAFullRead() {
     follow();
     node.link.cut(true);
     node.advance(3000);
@@ -58,18 +57,18 @@
     node.store.forgetHistory();
     node.advance(7000);
     node.link.cut(false);
-    awaitView();
+    awaitSnapshot();
     assertEquals(ImmutableSet.of("a", "b"), node.usable());
   }
 
   @Test
-  void endpointsThatLapsedInAnOutageStayInUseUntilTheyAreBack() {
+  void endpointsThatExpiredInAnOutageStayInUseUntilTheyAreListedAgain() {
     follow();
     node.store.down = true;
     node.advance(6000);
     node.unlist("a", "b", "c");
     node.store.down = false;
-    awaitView();
+    awaitSnapshot();
     assertEquals(ImmutableSet.of("a", "b", "c"), node.usable());
     node.list("a", "b", "c");
     node.advance(10_000);
@@ -77,7 +76,7 @@
   }
 
   @Test
-  void endpointThatIsMissingAfterAnOutageIsGoneOnceTheOthersHadTimeToComeBack() {
+  void endpointThatIsNotListedAgainAfterAnOutageIsDroppedAfterTheGracePeriod() {
     follow();
     node.store.down = true;
     node.advance(6000);
@@ -90,13 +89,13 @@
   }
 
   @Test
-  void endpointThatLeavesRightAfterASingleFailedCallGetsNoNewWork() {
+  void endpointThatLeavesAfterASingleFailedCallGetsNoNewWork() {
     follow();
     node.link.cut(true);
     node.advance(1300);
     node.link.cut(false);
     node.unlist("c");
-    awaitView();
+    awaitSnapshot();
     assertEquals(ImmutableSet.of("a", "b"), node.usable());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreCostTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreCostTest.java
@@ -20,7 +20,7 @@
 import org.vaneworks.tests.shared.StoreInMemory;
 import org.vaneworks.tests.shared.StoreLink;
 
-/** Checks how often nodes call a store that has just come back from an older copy. */
+/** Checks how often nodes call a store that was just restored from a backup. */
 final class StoreRestoreCostTest {
   private static final String PREFIX = "vaneworks/";
   private static final Duration KEY_REVOCATION = Duration.ofSeconds(5);
@@ -30,23 +30,23 @@
   private final StoreInMemory store = new StoreInMemory(clock);
   private final List<NodeLease> nodes = new ArrayList<>();
 
-  private void startNode(int place) {
+  private void startNode(int index) {
     StoreLink link = new StoreLink(clock, store);
     BoxTime time = new BoxTime(clock);
     NodeLease lease =
         NodeLease.create(
             clock,
-            new Random(place),
+            new Random(index),
             link,
             time.watch(),
             PREFIX,
-            "box" + place,
+            "box" + index,
             "dc1",
             "run",
-            () -> Optional.of(new HostPort("10.1.0.1", 7000 + place)));
+            () -> Optional.of(new HostPort("10.1.0.1", 7000 + index)));
     PrefixFollower.create(
             clock,
-            new Random(place),
+            new Random(index),
             link,
             Counters.in(new SimpleMeterRegistry()),
             "",
@@ -71,18 +71,18 @@
 
   @ParameterizedTest
   @ValueSource(ints = {8, 95, 350})
-  void callsAreAtMostTwiceThoseOfAColdStart(int count) {
+  void callsAfterARestoreAreAtMostTwiceThoseOfAColdStart(int count) {
     store.takeCopy();
     int before = store.calls();
-    for (int place = 0; place < count; place++) {
-      startNode(place);
+    for (int index = 0; index < count; index++) {
+      startNode(index);
     }
     advance(COUNTED_MILLIS);
     int coldStart = store.calls() - before;
     advance(10_000);
     store.comeBackFromCopy();
-    int afterReturn = callsWithin(COUNTED_MILLIS);
-    assertTrue(afterReturn <= 2 * coldStart, afterReturn + " calls, cold start " + coldStart);
+    int afterRestore = callsWithin(COUNTED_MILLIS);
+    assertTrue(afterRestore <= 2 * coldStart, afterRestore + " calls, cold start " + coldStart);
     advance(10_000);
     assertEquals(count, nodes.get(0).liveNodes());
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreSimulation.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreSimulation.java
@@ -34,94 +34,97 @@
 import org.vaneworks.tests.shared.StoreLink;
 
 /**
- * A random course of nodes before a store that comes back from older copies, under a paused clock.
+ * A random simulation of nodes that use a store which is restored from backups, under a paused
+ * clock.
  *
- * <p>Meanwhile nodes start again, are cut off and suspended, the operator writes configurations,
- * endpoints come, announce their end and go. The operator and the endpoints write again what the
- * store forgot. One engine takes orders of whoever is the controller, and refuses lower fences.
+ * <p>Nodes restart, are disconnected from the store and suspended; the operator writes
+ * configurations; endpoints join, announce that they leave, and leave. After a restore, the
+ * operator and the endpoints write lost entries again. One engine accepts the orders of any
+ * controller whose fence is not lower than the highest one so far.
  */
 final class StoreRestoreSimulation {
-  private static final String OWN = "vaneworks/";
+  private static final String VANEWORKS_PREFIX = "vaneworks/";
   private static final String ENTRIES = "servers/";
   private static final String CONFIGURATION = "op/config";
   private static final String SERVICE = "records";
   private static final String READY = "ready";
   private static final String LEAVING = "leaving";
-  private static final int MOST_NODES = 5;
+  private static final int MAX_NODES = 5;
   private static final int STEPS = 60;
-  private static final int LONGEST_STEP_MILLIS = 800;
-  private static final int LOOK_MILLIS = 100;
-  private static final int LONGEST_ANSWER_MILLIS = 700;
-  private static final int WRITTEN_AGAIN_WITHIN_MILLIS = 1500;
+  private static final int MAX_STEP_MILLIS = 800;
+  private static final int CHECK_INTERVAL_MILLIS = 100;
+  private static final int MAX_ANSWER_DELAY_MILLIS = 700;
+  private static final int MAX_REWRITE_DELAY_MILLIS = 1500;
 
-  /** A node's entry that nobody renews lapses within twelve seconds; some more for the rest. */
-  private static final int CALM_MILLIS = 20_000;
+  /** An entry of a stopped node expires within 12 s; the rest is for everything else to settle. */
+  private static final int SETTLE_MILLIS = 20_000;
 
   private final PausedExecutor clock = PausedExecutor.create();
   private final StoreInMemory store = new StoreInMemory(clock);
   private final Random random;
-  private Optional<Random> lateness = Optional.empty();
+  private Optional<Random> delays = Optional.empty();
   private final List<Node> nodes = new ArrayList<>();
   private final Set<String> problems = new LinkedHashSet<>();
 
-  /** What the operator and the endpoints have written last. */
-  private final Map<String, String> truth = new TreeMap<>();
+  /** The latest values that the operator and the endpoints have written, by key. */
+  private final Map<String, String> expectedEntries = new TreeMap<>();
 
   private final Map<Long, Integer> nodeByFence = new HashMap<>();
   private long highestFence;
   private int version;
-  private int endpoints;
-  private int runs;
+  private int createdEndpoints;
+  private int incarnations;
 
   StoreRestoreSimulation(long seed) {
     random = new Random(seed);
   }
 
   /**
-   * Makes a course in which some nodes get the store's answers late, also across its returns; what
-   * else happens is that of the seed.
+   * Creates a simulation in which some nodes get the store's answers late, even across a restore.
+   * All other events are the same as without delays for the same seed.
    */
-  static StoreRestoreSimulation withLateAnswers(long seed) {
-    StoreRestoreSimulation course = new StoreRestoreSimulation(seed);
-    course.lateness = Optional.of(new Random(~seed));
-    return course;
+  static StoreRestoreSimulation withDelayedAnswers(long seed) {
+    StoreRestoreSimulation simulation = new StoreRestoreSimulation(seed);
+    simulation.delays = Optional.of(new Random(~seed));
+    return simulation;
   }
 
-  /** One run of a node. */
+  /** One incarnation of a node. */
   private final class Node {
-    private final int place;
+    private final int index;
     private final StoreLink link = new StoreLink(clock, store);
     private final BoxTime time = new BoxTime(clock);
     private final Fleet fleet;
     private final ConfigurationWatch configuration;
     private final NodeLease lease;
     private final PrefixFollower follower;
-    private final Set<String> sawLeaving = new HashSet<>();
+    private final Set<String> seenLeaving = new HashSet<>();
     private final Set<String> everKnown = new HashSet<>();
-    private final Set<String> sawGone = new HashSet<>();
+    private final Set<String> seenRemoved = new HashSet<>();
     private int newestVersion;
 
-    Node(int place) {
-      this.place = place;
+    Node(int index) {
+      this.index = index;
       Counters counters = Counters.in(new SimpleMeterRegistry());
-      Random chance = new Random(random.nextLong());
+      Random nodeRandom = new Random(random.nextLong());
       fleet = Fleet.create(clock, counters, EntryNode.RELIST_GRACE);
-      configuration = new ConfigurationWatch(CONFIGURATION, StoreRestoreSimulation::configuration);
+      configuration =
+          new ConfigurationWatch(CONFIGURATION, StoreRestoreSimulation::readConfiguration);
       lease =
           NodeLease.create(
               clock,
-              chance,
+              nodeRandom,
               link,
               time.watch(),
-              OWN,
-              "box" + place,
+              VANEWORKS_PREFIX,
+              "box" + index,
               "dc1",
-              "run" + runs++,
-              () -> Optional.of(new HostPort("10.1.0.1", 7000 + place)));
+              "run" + incarnations++,
+              () -> Optional.of(new HostPort("10.1.0.1", 7000 + index)));
       follower =
           PrefixFollower.create(
               clock,
-              chance,
+              nodeRandom,
               link,
               counters,
               "",
@@ -133,15 +136,15 @@
                       configuration,
                       ENTRIES,
                       new EndpointListWatch(
-                          ENTRIES, StoreRestoreSimulation::endpoint, fleet, counters),
-                      OWN,
+                          ENTRIES, StoreRestoreSimulation::readEndpoint, fleet, counters),
+                      VANEWORKS_PREFIX,
                       lease)),
               time.watch());
       follower.start();
       lease.start();
     }
 
-    void end(boolean planned) {
+    void stop(boolean planned) {
       if (planned) {
         lease.stop();
       }
@@ -155,7 +158,7 @@
           .collect(ImmutableSet.toImmutableSet());
     }
 
-    void look() {
+    void check() {
       Set<String> known = new HashSet<>();
       fleet
           .all()
@@ -163,47 +166,47 @@
               endpoint -> {
                 known.add(endpoint.endpoint().id());
                 if (endpoint.endpoint().leaving()) {
-                  sawLeaving.add(endpoint.endpoint().id());
+                  seenLeaving.add(endpoint.endpoint().id());
                 }
               });
       for (String id : usable()) {
-        if (sawLeaving.contains(id)) {
-          problems.add("node " + place + " uses " + id + ", which it saw to leave");
+        if (seenLeaving.contains(id)) {
+          problems.add("node " + index + " uses " + id + ", which it saw leaving");
         }
-        if (sawGone.contains(id)) {
-          problems.add("node " + place + " uses " + id + ", which it saw to go");
+        if (seenRemoved.contains(id)) {
+          problems.add("node " + index + " uses " + id + ", which it saw removed");
         }
       }
       everKnown.stream()
-          .filter(id -> !truth.containsKey(ENTRIES + id) && !known.contains(id))
-          .forEach(sawGone::add);
+          .filter(id -> !expectedEntries.containsKey(ENTRIES + id) && !known.contains(id))
+          .forEach(seenRemoved::add);
       everKnown.addAll(known);
-      lookAtConfiguration();
-      order();
+      checkConfiguration();
+      checkController();
     }
 
-    private void lookAtConfiguration() {
-      int seen = configuration.newest().map(read -> (int) read.version()).orElse(0);
-      if (seen < newestVersion) {
-        problems.add("node " + place + " goes back from " + newestVersion + " to " + seen);
+    private void checkConfiguration() {
+      int current = configuration.newest().map(newest -> (int) newest.version()).orElse(0);
+      if (current < newestVersion) {
+        problems.add("node " + index + " goes back from " + newestVersion + " to " + current);
       }
-      newestVersion = seen;
+      newestVersion = current;
     }
 
-    private void order() {
+    private void checkController() {
       OptionalLong fence = lease.controllerFence();
       if (fence.isEmpty() || fence.getAsLong() < highestFence) {
         return;
       }
       highestFence = fence.getAsLong();
-      Integer former = nodeByFence.putIfAbsent(highestFence, place);
-      if (former != null && former != place) {
-        problems.add("nodes " + former + " and " + place + " order under one fence");
+      Integer former = nodeByFence.putIfAbsent(highestFence, index);
+      if (former != null && former != index) {
+        problems.add("nodes " + former + " and " + index + " are controllers with the same fence");
       }
     }
   }
 
-  private static EntryConfiguration configuration(StoredItem item) {
+  private static EntryConfiguration readConfiguration(StoredItem item) {
     return EntryConfiguration.of(
         Integer.parseInt(item.value()),
         List.of(),
@@ -212,7 +215,7 @@
         new EntryLimits(16_384, 1 << 20, Duration.ofSeconds(3), Duration.ofSeconds(15)));
   }
 
-  private static FleetEndpoint endpoint(StoredItem item) {
+  private static FleetEndpoint readEndpoint(StoredItem item) {
     String id = item.key().substring(ENTRIES.length());
     HostPort address = new HostPort("10.0.0.1", 1 + Integer.parseInt(id.substring(1)));
     boolean leaving = item.value().equals(LEAVING);
@@ -220,108 +223,109 @@
         id, SERVICE, address, "dc1", 6, leaving, Optional.empty(), "", item.createdAt());
   }
 
-  /** Plays the course; returns what is wrong. */
-  ImmutableList<String> play() {
+  /** Runs the simulation and returns the problems found. */
+  ImmutableList<String> run() {
     write(CONFIGURATION, Integer.toString(++version));
-    int count = 1 + random.nextInt(MOST_NODES);
-    for (int place = 0; place < count; place++) {
-      nodes.add(new Node(place));
+    int count = 1 + random.nextInt(MAX_NODES);
+    for (int index = 0; index < count; index++) {
+      nodes.add(new Node(index));
     }
     for (int step = 0; step < STEPS; step++) {
-      act();
-      advance(1 + random.nextInt(LONGEST_STEP_MILLIS));
+      randomAction();
+      advance(1 + random.nextInt(MAX_STEP_MILLIS));
     }
     store.down = false;
     nodes.forEach(node -> node.link.cut(false));
     nodes.forEach(node -> node.link.late(0));
-    advance(CALM_MILLIS);
-    judgeCalm();
+    advance(SETTLE_MILLIS);
+    checkSettled();
     return ImmutableList.copyOf(problems);
   }
 
   private void advance(int millis) {
-    for (int passed = 0; passed < millis; passed += LOOK_MILLIS) {
-      clock.advance(Duration.ofMillis(Math.min(LOOK_MILLIS, millis - passed)));
-      nodes.forEach(Node::look);
+    for (int passed = 0; passed < millis; passed += CHECK_INTERVAL_MILLIS) {
+      clock.advance(Duration.ofMillis(Math.min(CHECK_INTERVAL_MILLIS, millis - passed)));
+      nodes.forEach(Node::check);
     }
   }
 
-  /** Lets answers to a node take a time from now on, or come at once. */
-  private void makeLate(Random chance) {
-    Node node = nodes.get(chance.nextInt(nodes.size()));
-    switch (chance.nextInt(8)) {
-      case 0, 1 -> node.link.late(chance.nextInt(LONGEST_ANSWER_MILLIS));
+  /** Delays the store's answers to a random node from now on, or ends the delay. */
+  private void changeAnswerDelay(Random delayRandom) {
+    Node node = nodes.get(delayRandom.nextInt(nodes.size()));
+    switch (delayRandom.nextInt(8)) {
+      case 0, 1 -> node.link.late(delayRandom.nextInt(MAX_ANSWER_DELAY_MILLIS));
       case 2 -> node.link.late(0);
       default -> {}
     }
   }
 
-  private void act() {
-    lateness.ifPresent(this::makeLate);
-    int place = random.nextInt(nodes.size());
-    Node node = nodes.get(place);
+  private void randomAction() {
+    delays.ifPresent(this::changeAnswerDelay);
+    int index = random.nextInt(nodes.size());
+    Node node = nodes.get(index);
     switch (random.nextInt(16)) {
       case 0, 1 -> write(CONFIGURATION, Integer.toString(++version));
-      case 2, 3 -> write(ENTRIES + "e" + endpoints++, READY);
+      case 2, 3 -> write(ENTRIES + "e" + createdEndpoints++, READY);
       case 4 -> anyEndpoint().ifPresent(key -> write(key, LEAVING));
       case 5 -> anyEndpoint().ifPresent(this::remove);
       case 6 -> node.link.cut(true);
       case 7 -> node.link.cut(false);
       case 8 -> node.time.step(500 + random.nextInt(5000));
       case 9 -> {
-        node.end(random.nextBoolean());
-        nodes.set(place, new Node(place));
+        node.stop(random.nextBoolean());
+        nodes.set(index, new Node(index));
       }
       case 10, 11 -> store.takeCopy();
-      case 12, 13 -> comeBack();
+      case 12, 13 -> restoreStore();
       case 14 -> store.copiesHaveNoHistory = random.nextBoolean();
       default -> {}
     }
   }
 
   private Optional<String> anyEndpoint() {
-    List<String> keys = truth.keySet().stream().filter(key -> key.startsWith(ENTRIES)).toList();
+    List<String> keys =
+        expectedEntries.keySet().stream().filter(key -> key.startsWith(ENTRIES)).toList();
     return keys.isEmpty() ? Optional.empty() : Optional.of(keys.get(random.nextInt(keys.size())));
   }
 
   private void write(String key, String value) {
-    truth.put(key, value);
+    expectedEntries.put(key, value);
     store.put(key, value);
   }
 
   private void remove(String key) {
-    truth.remove(key);
+    expectedEntries.remove(key);
     store.remove(key);
   }
 
-  /** The store is away for a moment, perhaps, and is then as it was when it was copied last. */
-  private void comeBack() {
+  /** Restores the store from its latest backup, with or without an outage before. */
+  private void restoreStore() {
     store.down = random.nextBoolean();
-    advance(1 + random.nextInt(LONGEST_STEP_MILLIS));
+    advance(1 + random.nextInt(MAX_STEP_MILLIS));
     store.down = false;
     store.comeBackFromCopy();
-    // Leases that it gives out take numbers that were given out before.
+    // Opens a lease, whose number may have been issued before the restore.
     CompletableFuture<Long> unused = store.openLease(Duration.ofSeconds(1 + random.nextInt(20)));
     clock.schedule(
-        this::writeAgain, random.nextInt(WRITTEN_AGAIN_WITHIN_MILLIS), TimeUnit.MILLISECONDS);
+        this::rewriteEntries, random.nextInt(MAX_REWRITE_DELAY_MILLIS), TimeUnit.MILLISECONDS);
   }
 
-  /** The operator and the endpoints write what the store forgot; it was away for the rest. */
-  private void writeAgain() {
-    truth.forEach(
+  /** Writes entries that the store lost, and removes entries that the restore brought back. */
+  private void rewriteEntries() {
+    expectedEntries.forEach(
         (key, value) -> {
           if (!store.valueOf(key).equals(Optional.of(value))) {
             store.put(key, value);
           }
         });
     store.keys().stream()
-        .filter(key -> key.startsWith(ENTRIES) && !truth.containsKey(key))
+        .filter(key -> key.startsWith(ENTRIES) && !expectedEntries.containsKey(key))
         .forEach(store::remove);
   }
 
-  private void judgeCalm() {
+  private void checkSettled() {
     ImmutableSet<String> ready =
-        truth.entrySet().stream()
+        expectedEntries.entrySet().stream()
             .filter(entry -> entry.getValue().equals(READY))
             .map(entry -> entry.getKey().substring(ENTRIES.length()))
             .collect(ImmutableSet.toImmutableSet());
@@ -335,13 +339,13 @@
             .filter(node -> node.lease.controllerFence().equals(OptionalLong.of(highestFence)))
             .count();
     if (controllers != 1) {
-      problems.add(controllers + " controllers whose orders are taken");
+      problems.add(controllers + " controllers whose orders are accepted");
     }
   }
 
-  private void expect(Node node, String what, Object expected, Object seen) {
-    if (!expected.equals(seen)) {
-      problems.add("node " + node.place + ": " + what + " " + seen + ", expected " + expected);
+  private void expect(Node node, String what, Object expected, Object actual) {
+    if (!expected.equals(actual)) {
+      problems.add("node " + node.index + ": " + what + " " + actual + ", expected " + expected);
     }
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreSimulationTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreSimulationTest.java
@@ -8,51 +8,53 @@
 import org.junit.jupiter.api.Test;
 import org.vaneworks.tests.Schedules;
 
-/** Checks over random courses that nothing rests on what a store has forgotten. */
+/** Checks in random simulations that nodes recover after a store lost entries in a restore. */
 final class StoreRestoreSimulationTest {
-  /** More of them are played by hand. */
-  private static final int COURSES_A_TRY =
+  /** More than one if {@code vaneworks.schedules} is a multiple of the number of tries. */
+  private static final int SIMULATIONS_PER_TRY =
       Math.max(1, Integer.getInteger("vaneworks.schedules", Schedules.TRIES) / Schedules.TRIES);
 
   @Property(tries = Schedules.TRIES, seed = "20261203")
-  void nodesGoOnWhateverTheStoreForgets(@ForAll long seed) {
-    for (int i = 0; i < COURSES_A_TRY; i++) {
+  void nodesRecoverFromRestores(@ForAll long seed) {
+    for (int i = 0; i < SIMULATIONS_PER_TRY; i++) {
       assertEquals(
-          ImmutableList.of(), new StoreRestoreSimulation(seed + i).play(), "course " + (seed + i));
+          ImmutableList.of(), new StoreRestoreSimulation(seed + i).run(), "seed " + (seed + i));
     }
   }
 
   @Property(tries = Schedules.TRIES, seed = "20261203")
-  void sameWhereAnswersComeLate(@ForAll long seed) {
-    for (int i = 0; i < COURSES_A_TRY; i++) {
+  void nodesRecoverFromRestoresIfAnswersAreDelayed(@ForAll long seed) {
+    for (int i = 0; i < SIMULATIONS_PER_TRY; i++) {
       assertEquals(
           ImmutableList.of(),
-          StoreRestoreSimulation.withLateAnswers(seed + i).play(),
-          "course " + (seed + i));
+          StoreRestoreSimulation.withDelayedAnswers(seed + i).run(),
+          "seed " + (seed + i));
     }
   }
 
   /**
-   * A live endpoint was missing in a copy for longer than it is kept, and was named again by the
-   * next copy, so that it had nothing to write: the node that had dropped it never used it again.
+   * Guards against a live endpoint that is never used again. It was missing after a restore for
+   * longer than missing endpoints are kept, so a node dropped it. The next restore brought its
+   * entry back, so the endpoint had nothing to write.
    */
   @Test
-  void endpointThatTheNextCopyNamesAgainIsUsed() {
-    assertEquals(ImmutableList.of(), new StoreRestoreSimulation(677694018).play());
+  void droppedEndpointIsUsedAgainIfTheNextRestoreListsIt() {
+    assertEquals(ImmutableList.of(), new StoreRestoreSimulation(677694018).run());
   }
 
-  /** A node that was cut off did not see that an endpoint of the copy was unlisted again. */
+  /** Guards against a disconnected node that misses the removal of an endpoint after a restore. */
   @Test
-  void endpointThatTheCopyNamesIsNotUsedByANodeThatIsCutOff() {
-    assertEquals(ImmutableList.of(), new StoreRestoreSimulation(-27).play());
+  void endpointThatARestoreListsIsNotUsedByADisconnectedNode() {
+    assertEquals(ImmutableList.of(), new StoreRestoreSimulation(-27).run());
   }
 
   /**
-   * A node whose entry had lapsed opened two leases, as answers came late: its entry was there
-   * under the first, which nobody renewed, and was not written again once it had gone with it.
+   * Guards against a node that stays unlisted. Its entry had expired, and it opened two leases
+   * because answers were delayed. The entry was written under the first lease, which nobody
+   * renewed, and was not written again after it expired with that lease.
    */
   @Test
-  void entryUnderAFormerLeaseIsWrittenAgainOnceItGoes() {
-    assertEquals(ImmutableList.of(), StoreRestoreSimulation.withLateAnswers(7560).play());
+  void entryUnderAFormerLeaseIsRewrittenAfterItExpires() {
+    assertEquals(ImmutableList.of(), StoreRestoreSimulation.withDelayedAnswers(7560).run());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SuspendedBoxTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SuspendedBoxTest.java
@@ -8,56 +8,56 @@
 import org.vaneworks.tests.forwarding.Got;
 
 /**
- * Checks what a node takes after its box was suspended.
+ * Checks which requests a node accepts after its box was suspended.
  *
- * <p>The steady clock does not count that time: by it a configuration that was confirmed just
- * before is young, however many seconds have passed in which keys may have been taken away.
+ * <p>The monotonic clock does not advance during a suspension: by that clock, a configuration that
+ * was confirmed just before still appears fresh, although keys may have been revoked meanwhile.
  */
 final class SuspendedBoxTest {
-  private final SimulatedCluster fleet = new SimulatedCluster(1, 3, 5);
+  private final SimulatedCluster cluster = new SimulatedCluster(1, 3, 5);
 
-  private Got askAndWait() {
-    Got got = fleet.ask(0, "letter");
-    fleet.advance(2000);
-    return got;
+  private Got sendAndAwaitResponse() {
+    Got response = cluster.sendRequest(0, "letter");
+    cluster.advance(2000);
+    return response;
   }
 
   @Test
-  void requestRightAfterASuspensionIsNotTakenByWhatWasConfirmedBefore() {
-    fleet.timeOfDayMoves(0, 6000);
-    Got got = askAndWait();
-    assertEquals(Reason.CONFIGURATION_STALE, got.refusal.get().reason());
+  void requestAfterASuspensionIsRefusedIfTheConfigurationWasConfirmedBefore() {
+    cluster.stepTimeOfDay(0, 6000);
+    Got response = sendAndAwaitResponse();
+    assertEquals(Reason.CONFIGURATION_STALE, response.refusal.get().reason());
   }
 
   @Test
-  void requestsAreTakenOnceTheStoreHasConfirmedTheConfiguration() {
-    fleet.timeOfDayMoves(0, 6000);
-    fleet.ask(0, "letter");
-    fleet.advance(30);
-    assertTrue(askAndWait().whole);
+  void requestsAreAcceptedOnceTheStoreHasConfirmedTheConfiguration() {
+    cluster.stepTimeOfDay(0, 6000);
+    cluster.sendRequest(0, "letter");
+    cluster.advance(30);
+    assertTrue(sendAndAwaitResponse().whole);
   }
 
   @Test
-  void requestsAreRefusedForAsLongAsTheStoreDoesNotAnswerAfterASuspension() {
-    fleet.cutFromStore(0, true);
-    fleet.timeOfDayMoves(0, 6000);
-    askAndWait();
-    assertEquals(Reason.CONFIGURATION_STALE, askAndWait().refusal.get().reason());
+  void requestsAreRefusedUntilTheStoreAnswersAfterASuspension() {
+    cluster.setStoreDisconnected(0, true);
+    cluster.stepTimeOfDay(0, 6000);
+    sendAndAwaitResponse();
+    assertEquals(Reason.CONFIGURATION_STALE, sendAndAwaitResponse().refusal.get().reason());
   }
 
   @Test
   void stepOfTheTimeOfDayCostsOneCallToTheStore() {
-    fleet.timeOfDayMoves(0, -2000);
-    fleet.ask(0, "letter");
-    fleet.advance(30);
-    assertTrue(askAndWait().whole);
+    cluster.stepTimeOfDay(0, -2000);
+    cluster.sendRequest(0, "letter");
+    cluster.advance(30);
+    assertTrue(sendAndAwaitResponse().whole);
   }
 
   @Test
   void smallAdjustmentsOfTheTimeOfDayChangeNothing() {
     for (int i = 0; i < 20; i++) {
-      fleet.timeOfDayMoves(0, i % 2 == 0 ? 40 : -40);
-      assertTrue(askAndWait().whole);
+      cluster.stepTimeOfDay(0, i % 2 == 0 ? 40 : -40);
+      assertTrue(sendAndAwaitResponse().whole);
     }
   }
 }
