--- /dev/null
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/AttemptRecord.java
@@ -0,0 +1,116 @@
+package org.vaneworks.daemon.entry;
+
+import org.vaneworks.state.HostPort;
+
+/** One attempt of a request, and its outcome from the engine's point of view. */
+final class AttemptRecord {
+  /** The outcome of an attempt. */
+  enum Outcome {
+    /** The engine runs the request, or has not read it yet. */
+    PENDING,
+    /** The engine sent a complete answer. */
+    COMPLETED,
+    /** The engine rejected the request without running it. */
+    REJECTED,
+    /** The engine aborted the request or crashed; the node may not have noticed. */
+    ENGINE_ABORTED,
+    /** The engine answered with a failure status. */
+    ENGINE_FAILED,
+    /** The node cancelled the attempt, which its engine would have continued. */
+    ABANDONED
+  }
+
+  private final HostPort engine;
+  private final long sentAtMillis;
+  private boolean started;
+  private boolean closed;
+  private boolean incarnationOver;
+  private long closedAtMillis;
+  private Outcome outcome = Outcome.PENDING;
+
+  AttemptRecord(HostPort engine, long sentAtMillis) {
+    this.engine = engine;
+    this.sentAtMillis = sentAtMillis;
+  }
+
+  /** Records that the engine started the request. */
+  void start() {
+    started = true;
+  }
+
+  /** Records the outcome, unless there is one already. */
+  void finish(Outcome next) {
+    if (outcome == Outcome.PENDING) {
+      outcome = next;
+    }
+  }
+
+  /**
+   * Records that the node stopped reading the answer.
+   *
+   * @param incarnationIsOver whether the incarnation of the engine that it was sent to has ended
+   */
+  void close(boolean incarnationIsOver, long atMillis) {
+    if (!closed) {
+      closedAtMillis = atMillis;
+    }
+    closed = true;
+    incarnationOver |= incarnationIsOver;
+    finish(Outcome.ABANDONED);
+  }
+
+  /** Returns whether the engine started the request. */
+  boolean wasStarted() {
+    return started;
+  }
+
+  /** Returns whether the node has stopped reading the answer. */
+  boolean isClosed() {
+    return closed
+        || outcome == Outcome.COMPLETED
+        || outcome == Outcome.REJECTED
+        || outcome == Outcome.ENGINE_FAILED;
+  }
+
+  /** Returns whether the node cancelled the attempt although its engine would have continued. */
+  boolean wasAbandoned() {
+    return closed && outcome != Outcome.REJECTED && !wasTerminatedByEngine();
+  }
+
+  /** Returns whether the node had sent the request by a time, and was still reading its answer. */
+  boolean isActiveAt(long millis) {
+    return sentAtMillis <= millis && (!closed || closedAtMillis >= millis);
+  }
+
+  /** Returns when the node stopped reading the answer. */
+  long closedAtMillis() {
+    return closedAtMillis;
+  }
+
+  HostPort engine() {
+    return engine;
+  }
+
+  long sentAtMillis() {
+    return sentAtMillis;
+  }
+
+  /** Returns whether the engine terminated the attempt without a complete answer. */
+  boolean wasTerminatedByEngine() {
+    return incarnationOver || outcome == Outcome.ENGINE_ABORTED || outcome == Outcome.ENGINE_FAILED;
+  }
+
+  Outcome outcome() {
+    return outcome;
+  }
+
+  @Override
+  public String toString() {
+    return engine
+        + " at "
+        + sentAtMillis
+        + (started ? " ran " : " ")
+        + outcome
+        + (incarnationOver ? " restarted" : "");
+  }
+}
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/ListedFleet.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/FleetWatchFixture.java
@@ -17,8 +17,8 @@
 import org.vaneworks.tests.shared.InMemorySharedStore;
 import org.vaneworks.tests.shared.StoreLink;
 
-/** One node's table of endpoints, kept by its follower of the store, under a paused clock. */
-final class ListedFleet {
+/** One node's fleet, which follows the endpoint list in a store, under a paused clock. */
+final class FleetWatchFixture {
   private static final String PREFIX = "servers/";
   private static final String SERVICE = "records";
 
@@ -29,7 +29,7 @@
   private final Fleet fleet = Fleet.create(clock, counters, EntryNode.RELIST_GRACE);
   final PrefixFollower follower;
 
-  ListedFleet(long seed) {
+  FleetWatchFixture(long seed) {
     follower =
         PrefixFollower.create(
             clock,
@@ -39,13 +39,12 @@
             PREFIX,
             () -> Duration.ofMillis(1250),
             () -> Duration.ofMillis(500),
-            new EndpointListWatch(PREFIX, ListedFleet::endpoint, fleet, counters),
-            new BoxClock(clock).suspensionDetector());
+new EndpointListWatch(PREFIX,FleetWatchFixture::readEndpoint,fleet,counters),new BoxClock(clock).suspensionDetector());
   }
 
-  private static FleetEndpoint endpoint(StoredItem item) {
+  private static FleetEndpoint readEndpoint(StoredItem item) {
     String id = item.key().substring(PREFIX.length());
-    // Each run has an address of its own: one that is listed anew takes the former's place.
+    // Each id has an address of its own, since a new endpoint replaces a former one at its address.
     HostPort address = new HostPort("10.0.0.1", 1 + Math.floorMod(id.hashCode(), 65_000));
     return new FleetEndpoint(
         id, SERVICE, address, "dc1", 6, false, Optional.empty(), "", item.createdAt());
@@ -67,7 +66,7 @@
     return store.has(PREFIX + id);
   }
 
-  /** Returns the endpoints that get new work now. */
+  /** Returns the ids of the endpoints that currently get new work. */
   ImmutableSet<String> usable() {
     return fleet.usable(SERVICE).stream()
         .map(endpoint -> endpoint.endpoint().id())
--- /dev/null
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/InFlightResponseSimulationTest.java
@@ -0,0 +1,67 @@
+package org.vaneworks.daemon.entry;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.google.common.collect.ImmutableList;
+import net.jqwik.api.AfterFailureMode;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.ShrinkingMode;
+import net.jqwik.api.lifecycle.AfterContainer;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.vaneworks.tests.Schedules;
+
+/**
+ * Checks in random simulations that callers get the complete response if the engine would have sent
+ * a complete answer.
+ *
+ * <p>Guards against nodes that abandon a paused engine before another engine accepts the request.
+ */
+final class InFlightResponseSimulationTest {
+  private static final Schedules SIMULATIONS = new Schedules("in-flight response");
+
+  @Property(
+      tries = Schedules.TRIES,
+      seed = "20261203",
+      shrinking = ShrinkingMode.OFF,
+      afterFailure = AfterFailureMode.PREVIOUS_SEED)
+  void responsesAreNotAbortedWhileTheirEnginesLive(@ForAll long seed) {
+    SIMULATIONS.run(
+        seed,
+        each -> {
+          InFlightResponseSimulation simulation = new InFlightResponseSimulation(each);
+          return new Schedules.Result(simulation.run(), simulation.counts());
+        });
+  }
+
+  // Guards against a stream that is aborted because it left a live engine for one that rejected it.
+  @Test
+  void streamKeepsItsEngineIfAnotherEngineRejectsIt() {
+    for (long seed : new long[] {54, 69, 83, 663}) {
+      assertEquals(ImmutableList.of(), new InFlightResponseSimulation(seed).run(), "seed " + seed);
+    }
+  }
+
+  // Guards against a stream that is aborted by the crash of an engine which is no longer on its
+  // path, because the order that changed the path took effect but was not answered.
+  @Test
+  void streamSurvivesTheCrashOfAnEngineThatLeftItsPath() {
+    assertEquals(ImmutableList.of(), new InFlightResponseSimulation(98).run());
+  }
+
+  // Guards against a stream that makes progress again, but still waits for capacity elsewhere and
+  // is
+  // then sent twice.
+  @ParameterizedTest
+  @ValueSource(longs = {30, 74, 113, 236})
+  void streamThatMakesProgressAgainDoesNotMove(long seed) {
+    assertEquals(ImmutableList.of(), new InFlightResponseSimulation(seed).run());
+  }
+
+  @AfterContainer
+  static void report() {
+    SIMULATIONS.report();
+  }
+}
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/PeerConfigurationVersionsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/PeerConfigurationVersionsTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 import org.vaneworks.testlib.PausedExecutor;
 
-/** Checks when a store that confirms a configuration is taken to be behind. */
-final class PeerConfigurationVersionsTest {
+/** Checks when the store's configuration is considered older than one that a peer has seen. */
+final class PeerConfigurationVersionsTest{
   private final PausedExecutor clock = PausedExecutor.create();
   private final PeerConfigurationVersions peers = new PeerConfigurationVersions(clock);
 
@@ -31,25 +31,25 @@
   }
 
   @Test
-  void storeThatWasNotAskedSinceIsNot() {
-    long askedAt = now();
+  void storeThatWasNotCalledSinceIsNotBehind() {
+    long calledAt = now();
     advance(100);
     peers.recordVersion(12);
     advance(100);
-    assertFalse(peers.storeIsBehind(11, askedAt));
+    assertFalse(peers.storeIsBehind(11, calledAt));
   }
 
   @Test
-  void peersThatAreBehindThemselvesChangeNothing() {
-    peers.recordVersion(12);
+void olderVersionOfAnotherPeerIsIgnored(){
+peers.recordVersion(12);
     advance(100);
     peers.recordVersion(11);
     assertTrue(peers.storeIsBehind(11, now()));
   }
 
   @Test
-  void versionThatNoPeerTellsAnyMoreCountsNoMore() {
-    peers.recordVersion(12);
+void versionThatNoPeerReportsAnyMoreExpires(){
+peers.recordVersion(12);
     for (int i = 0; i < 12; i++) {
       advance(1000);
       peers.recordVersion(11);
@@ -58,8 +58,8 @@
   }
 
   @Test
-  void peerThatHasSeenNoneSaysNothing() {
-    peers.recordVersion(0);
+void peerWithoutAVersionIsIgnored(){
+peers.recordVersion(0);
     advance(100);
     assertFalse(peers.storeIsBehind(1, now()));
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CourseConfiguration.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulationConfiguration.java
@@ -15,53 +15,53 @@
 import org.vaneworks.state.entry.WeightedService;
 import org.vaneworks.tests.placement.Models;
 
-/** A configuration with a route for each kind of request, with one attempt and with two. */
-final class CourseConfiguration {
+/** A configuration with two routes for each kind of call, which allow one and two attempts. */
+final class SimulationConfiguration {
   private static final ImmutableList<CallKind> KINDS = ImmutableList.copyOf(CallKind.values());
-  private static final int MOST_ATTEMPTS = 2;
-  private static final Duration STREAM_LIMIT = Duration.ofSeconds(20);
-  private static final Duration PLAIN_LIMIT = Duration.ofMillis(800);
+  private static final int MAX_ATTEMPTS = 2;
+  private static final Duration STREAM_TIMEOUT = Duration.ofSeconds(20);
+  private static final Duration CALL_TIMEOUT = Duration.ofMillis(800);
 
-  private CourseConfiguration() {}
+  private SimulationConfiguration() {}
 
   /**
-   * Returns a version of it.
+   * Returns a version of the configuration.
    *
-   * @param idleMillis how long connections may rest
+   * @param idleMillis the idle timeout of connections
    */
   static EntryConfiguration of(int version, int idleMillis) {
     return EntryConfiguration.of(
         version,
         routes(),
         List.of(
-            new ServiceProfile(SharedEngines.SERVICE, 1000, Optional.of(Models.eightyLayers())),
-            new ServiceProfile(SharedEngines.REPLICATED, 100, Optional.empty())),
-        Map.of(SharedEngines.KEY, new Caller("scheme", OptionalInt.empty())),
+            new ServiceProfile(SimulatedCluster.SERVICE, 1000, Optional.of(Models.eightyLayers())),
+            new ServiceProfile(SimulatedCluster.REPLICATED, 100, Optional.empty())),
+        Map.of(SimulatedCluster.KEY, new Caller("scheme", OptionalInt.empty())),
         new EntryLimits(16_384, 1 << 20, Duration.ofSeconds(3), Duration.ofMillis(idleMillis)));
   }
 
-  /** Returns its routes. */
+  /** Returns the routes of the configuration. */
   static ImmutableList<EntryRoute> routes() {
     ImmutableList.Builder<EntryRoute> routes = ImmutableList.builder();
     for (CallKind kind : KINDS) {
-      for (int attempts = 1; attempts <= MOST_ATTEMPTS; attempts++) {
+      for (int attempts = 1; attempts <= MAX_ATTEMPTS; attempts++) {
         routes.add(route(kind, attempts));
       }
     }
     return routes.build();
   }
 
-  /** Returns the route of a kind with that many attempts. */
+  /** Returns the route of a kind of call that allows a number of attempts. */
   static EntryRoute route(CallKind kind, int attempts) {
     String prefix = "/" + kind + "/" + attempts + "/";
     boolean streamed = kind.streamed();
-    String service = streamed ? SharedEngines.SERVICE : SharedEngines.REPLICATED;
+    String service = streamed ? SimulatedCluster.SERVICE : SimulatedCluster.REPLICATED;
     return new EntryRoute(
         prefix,
         "host.example",
         prefix,
         kind,
-        streamed ? STREAM_LIMIT : PLAIN_LIMIT,
+        streamed ? STREAM_TIMEOUT : CALL_TIMEOUT,
         Duration.ofMillis(500),
         Duration.ofMillis(200),
         0,
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreReturnCostTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreCostTest.java
@@ -20,8 +20,8 @@
 import org.vaneworks.tests.shared.InMemorySharedStore;
 import org.vaneworks.tests.shared.StoreLink;
 
-/** Checks how often nodes call a store that has just come back from an older copy. */
-final class StoreReturnCostTest {
+/** Checks how often nodes call a store that was just restored from a backup. */
+final class StoreRestoreCostTest {
   private static final String PREFIX = "vaneworks/";
   private static final Duration KEY_REVOCATION = Duration.ofSeconds(5);
   private static final int COUNTED_MILLIS = 2000;
@@ -30,23 +30,23 @@
   private final InMemorySharedStore store = new InMemorySharedStore(clock);
   private final List<NodeLease> nodes = new ArrayList<>();
 
-  private void startNode(int place) {
+  private void startNode(int index) {
     StoreLink link = new StoreLink(clock, store);
     BoxClock time = new BoxClock(clock);
     NodeLease lease =
         NodeLease.create(
             clock,
-            new Random(place),
+            new Random(index),
             link,
             time.suspensionDetector(),
             PREFIX,
-            "box" + place,
+            "box" + index,
             "dc1",
             "run",
-            () -> Optional.of(new HostPort("10.1.0.1", 7000 + place)));
+            () -> Optional.of(new HostPort("10.1.0.1", 7000 + index)));
     PrefixFollower.create(
             clock,
-            new Random(place),
+            new Random(index),
             link,
             Counters.in(new SimpleMeterRegistry()),
             "",
@@ -71,18 +71,18 @@
 
   @ParameterizedTest
   @ValueSource(ints = {8, 95, 350})
-  void callsAreAtMostTwiceThoseOfAColdStart(int count) {
-    store.takeBackup();
+void callsAfterARestoreAreAtMostTwiceThoseOfAColdStart(int count){
+store.takeBackup();
     int before = store.calls();
-    for (int place = 0; place < count; place++) {
-      startNode(place);
+    for (int index = 0; index < count; index++) {
+      startNode(index);
     }
     advance(COUNTED_MILLIS);
     int coldStart = store.calls() - before;
     advance(10_000);
-    store.restoreBackup();
-    int afterReturn = callsWithin(COUNTED_MILLIS);
-    assertTrue(afterReturn <= 2 * coldStart, afterReturn + " calls, cold start " + coldStart);
+store.restoreBackup();
+int afterRestore=callsWithin(COUNTED_MILLIS);
+assertTrue(afterRestore<=2*coldStart,afterRestore+" calls, cold start "+coldStart);
     advance(10_000);
     assertEquals(count, nodes.get(0).liveNodes());
   }
