--- a/vaneworks-cli/src/main/java/org/vaneworks/cli/GetCommand.java
+++ b/vaneworks-cli/src/main/java/org/vaneworks/cli/GetCommand.java
@@ -46,6 +46,6 @@
   private CompletableFuture<StoredConfiguration> load(ConfigurationEditor editor) {
     return version == null
         ? editor.load()
-:editor.load().thenCompose(current->editor.loadArchived(current,version));
+        : editor.load().thenCompose(current -> editor.loadArchived(current, version));
   }
 }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryFleet.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryFleet.java
@@ -189,7 +189,8 @@
     Counters nodeCounters = Counters.in(new SimpleMeterRegistry());
     FreezableExecutor process = new FreezableExecutor(executor);
     processes.put(name, process);
-NodeDependencies dependencies=new NodeDependencies(
+    NodeDependencies dependencies =
+        new NodeDependencies(
             process,
             new Random(seed + address.port() + 1000L * ++incarnations),
             store,
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryPeers.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryPeers.java
@@ -57,9 +57,9 @@
 
   /** Returns the link on which the node at an address sends its requests. */
   public PeerLink linkFrom(HostPort from) {
-return(to,request,timeout)->{
-PeerException unanswered=PeerException.unanswered(to+" did not reply in "+timeout);
-return Async.withTimeout(executor,timeout,send(from,to,request),unanswered);
+    return (to, request, timeout) -> {
+      PeerException unanswered = PeerException.unanswered(to + " did not reply in " + timeout);
+      return Async.withTimeout(executor, timeout, send(from, to, request), unanswered);
     };
   }
 
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelEngine.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelEngine.java
@@ -22,7 +22,7 @@
 
   ModelEngine(ModelProfile model, AcceleratorProfile accelerator, LayerRange held) {
     this.accelerator = accelerator;
-this.capacity=model.tokenLayerCapacity(accelerator,held.size());
+    this.capacity = model.tokenLayerCapacity(accelerator, held.size());
   }
 
   AcceleratorProfile accelerator() {
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelNode.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/ModelNode.java
@@ -66,8 +66,8 @@
     exchange.start();
   }
 
-void receive(LoadReport report){
-exchange.receive(report);
+  void receive(LoadReport report) {
+    exchange.receive(report);
   }
 
   Optional<EnginePath> plan(RequestSize size) {
@@ -78,7 +78,7 @@
 
   void recordRejection(TrackedEndpoint engine) {
     long now = clock.currentTime(NANOSECONDS);
-engine.avoidUntil(now+REJECTION_BACKOFF.toNanos());
-engine.recordShortage(now);
+    engine.avoidUntil(now + REJECTION_BACKOFF.toNanos());
+    engine.recordShortage(now);
   }
 }
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/SharedEnginesModel.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/fleet/SharedEnginesModel.java
@@ -107,8 +107,8 @@
     return fleet.outcome(WARM_UP.plus(duration));
   }
 
-private ImmutableList<FleetEndpoint>placeEngines(){
-List<EngineSnapshot>holdings=new ArrayList<>();
+  private ImmutableList<FleetEndpoint> placeEngines() {
+    List<EngineSnapshot> holdings = new ArrayList<>();
     for (FleetShape.DataCentre centre : shape.dataCentres()) {
       centre
           .engines()
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/BackoffTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/BackoffTest.java
@@ -20,9 +20,9 @@
   private static final int BACKOFF_MILLIS = 3000;
   private static final int REQUESTS_PER_SECOND = 28;
 
-private final SimulatedCluster cluster=new SimulatedCluster(NODES,ENGINES,7);
-private int sentRequests;
-private final List<RecordedResponse>responses=new ArrayList<>();
+  private final SimulatedCluster cluster = new SimulatedCluster(NODES, ENGINES, 7);
+  private int sentRequests;
+  private final List<RecordedResponse> responses = new ArrayList<>();
 
   /** Sends requests to the nodes round-robin. */
   private void sendRequests(int seconds) {
@@ -94,9 +94,9 @@
     for (int engine = 0; engine < ENGINES; engine++) {
       cluster.rejectCalls(engine, 10_000);
     }
-sendRequests(2);
-RecordedResponse response=cluster.sendRequest(0,"now");
-Refusal refusal=response.refusal.orElseThrow();
+    sendRequests(2);
+    RecordedResponse response = cluster.sendRequest(0, "now");
+    Refusal refusal = response.refusal.orElseThrow();
     assertEquals(Reason.NO_ENDPOINT, refusal.reason());
     assertEquals(Verdict.NOT_RUN, refusal.verdict());
   }
@@ -114,9 +114,9 @@
     for (int engine = 0; engine < ENGINES; engine++) {
       cluster.acceptCalls(engine);
     }
-cluster.advance((int)retryAfter.toMillis());
-RecordedResponse retry=cluster.sendRequest(0,"again");
-cluster.advance(1000);
-assertTrue(retry.whole,"retry after "+retryAfter+" from "+refusedAt+" ms");
+    cluster.advance((int) retryAfter.toMillis());
+    RecordedResponse retry = cluster.sendRequest(0, "again");
+    cluster.advance(1000);
+    assertTrue(retry.whole, "retry after " + retryAfter + " from " + refusedAt + " ms");
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestSimulationTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestSimulationTest.java
@@ -77,8 +77,8 @@
 
     private void backUpOrRestore() {
       switch (random.nextInt(12)) {
-case 0,1->cluster.store.takeBackup();
-case 2->cluster.restoreStore();
+        case 0, 1 -> cluster.store.takeBackup();
+        case 2 -> cluster.restoreStore();
         default -> {}
       }
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/CrashingRequestTest.java
@@ -67,13 +67,13 @@
     for (int node = 0; node < NODES; node++) {
       cluster.restartNode(node);
     }
-cluster.advance(1000);
-long before=cluster.crashingArrivalsFrom(0);
-RecordedResponse response=cluster.sendRequest(0,SimulatedCluster.CRASHING);
-cluster.advance(1000);
-assertEquals(before,cluster.crashingArrivalsFrom(0));
-assertEquals(Reason.QUARANTINED,response.refusal.get().reason());
-assertEquals(Verdict.NOT_RUN,response.refusal.get().verdict());
+    cluster.advance(1000);
+    long before = cluster.crashingArrivalsFrom(0);
+    RecordedResponse response = cluster.sendRequest(0, SimulatedCluster.CRASHING);
+    cluster.advance(1000);
+    assertEquals(before, cluster.crashingArrivalsFrom(0));
+    assertEquals(Reason.QUARANTINED, response.refusal.get().reason());
+    assertEquals(Verdict.NOT_RUN, response.refusal.get().verdict());
   }
 
   @Test
@@ -112,15 +112,15 @@
   }
 
   @Test
-void unreadableEntriesUnderItsKeysAreIgnored(){
-cluster.store.put("quarantine/ends/x/1","no list of ends");
-cluster.store.put("quarantine/held/no-content","");
-cluster.store.put("quarantine/other","");
-sendCrashingRequests(30,500);
-assertQuarantinedAfterThirdCrash();
-RecordedResponse response=cluster.sendRequest(0,"letter");
-cluster.advance(2000);
-assertTrue(response.whole);
+  void unreadableEntriesUnderItsKeysAreIgnored() {
+    cluster.store.put("quarantine/ends/x/1", "no list of ends");
+    cluster.store.put("quarantine/held/no-content", "");
+    cluster.store.put("quarantine/other", "");
+    sendCrashingRequests(30, 500);
+    assertQuarantinedAfterThirdCrash();
+    RecordedResponse response = cluster.sendRequest(0, "letter");
+    cluster.advance(2000);
+    assertTrue(response.whole);
   }
 
   @Test
@@ -156,8 +156,8 @@
   }
 
   @Test
-void otherRequestsAtTheSameEnginesAreServed(){
-List<RecordedResponse>others=new ArrayList<>();
+  void otherRequestsAtTheSameEnginesAreServed() {
+    List<RecordedResponse> others = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       cluster.sendRequest(i, SimulatedCluster.CRASHING);
       for (int j = 0; j < 10; j++) {
@@ -175,13 +175,13 @@
   }
 
   @Test
-void quarantineOutlivesARestoreFromABackupWithoutIt(){
-cluster.store.takeBackup();
-sendCrashingRequests(10,500);
-long before=cluster.crashingArrivalsFrom(0);
-cluster.store.restoreBackup();
-sendCrashingRequests(20,500);
-assertEquals(before,cluster.crashingArrivalsFrom(0));
+  void quarantineOutlivesARestoreFromABackupWithoutIt() {
+    cluster.store.takeBackup();
+    sendCrashingRequests(10, 500);
+    long before = cluster.crashingArrivalsFrom(0);
+    cluster.store.restoreBackup();
+    sendCrashingRequests(20, 500);
+    assertEquals(before, cluster.crashingArrivalsFrom(0));
     for (int node = 0; node < NODES; node++) {
       cluster.restartNode(node);
     }
@@ -191,12 +191,12 @@
   }
 
   @Test
-void crashesThatTheStoreLostInARestoreStillCount(){
-cluster.store.takeBackup();
-cluster.sendRequest(0,SimulatedCluster.CRASHING);
-cluster.advance(3000);
-cluster.store.restoreBackup();
-cluster.advance(3000);
+  void crashesThatTheStoreLostInARestoreStillCount() {
+    cluster.store.takeBackup();
+    cluster.sendRequest(0, SimulatedCluster.CRASHING);
+    cluster.advance(3000);
+    cluster.store.restoreBackup();
+    cluster.advance(3000);
     for (int node = 1; node < NODES; node++) {
       cluster.restartNode(node);
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineArrivals.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineArrivals.java
@@ -24,21 +24,21 @@
   private record Arrival(long atMillis, boolean senderKnewLimit) {}
 
   /** A limit that the engine advertises from some time on. */
-private record AdvertisedLimit(long fromMillis,AdvertisedRateLimit limit){
-}
+  private record AdvertisedLimit(long fromMillis, AdvertisedRateLimit limit) {}
 
   private final List<Arrival> arrivals = new ArrayList<>();
-private final List<AdvertisedLimit>advertised=new ArrayList<>(List.of(new AdvertisedLimit(0,AdvertisedRateLimit.none())));
-private final Map<Integer,Long>informedAt=new HashMap<>();
+  private final List<AdvertisedLimit> advertised =
+      new ArrayList<>(List.of(new AdvertisedLimit(0, AdvertisedRateLimit.none())));
+  private final Map<Integer, Long> informedAt = new HashMap<>();
 
-AdvertisedRateLimit limit(){
-return advertised.get(advertised.size()-1).limit();
+  AdvertisedRateLimit limit() {
+    return advertised.get(advertised.size() - 1).limit();
   }
 
   /** Sets the limit that the engine advertises from a time on. */
-void advertise(AdvertisedRateLimit next,long atMillis){
-if(!next.isLimited()){
-informedAt.clear();
+  void advertise(AdvertisedRateLimit next, long atMillis) {
+    if (!next.isLimited()) {
+      informedAt.clear();
     }
     advertised.add(new AdvertisedLimit(atMillis, next));
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/FleetWatchFixture.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/FleetWatchFixture.java
@@ -39,7 +39,8 @@
             PREFIX,
             () -> Duration.ofMillis(1250),
             () -> Duration.ofMillis(500),
-new EndpointListWatch(PREFIX,FleetWatchFixture::readEndpoint,fleet,counters),new BoxClock(clock).suspensionDetector());
+            new EndpointListWatch(PREFIX, FleetWatchFixture::readEndpoint, fleet, counters),
+            new BoxClock(clock).suspensionDetector());
   }
 
   private static FleetEndpoint readEndpoint(StoredItem item) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/PeerConfigurationVersionsTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/PeerConfigurationVersionsTest.java
@@ -9,7 +9,7 @@
 import org.vaneworks.testlib.PausedExecutor;
 
 /** Checks when the store's configuration is considered older than one that a peer has seen. */
-final class PeerConfigurationVersionsTest{
+final class PeerConfigurationVersionsTest {
   private final PausedExecutor clock = PausedExecutor.create();
   private final PeerConfigurationVersions peers = new PeerConfigurationVersions(clock);
 
@@ -40,16 +40,16 @@
   }
 
   @Test
-void olderVersionOfAnotherPeerIsIgnored(){
-peers.recordVersion(12);
+  void olderVersionOfAnotherPeerIsIgnored() {
+    peers.recordVersion(12);
     advance(100);
     peers.recordVersion(11);
     assertTrue(peers.storeIsBehind(11, now()));
   }
 
   @Test
-void versionThatNoPeerReportsAnyMoreExpires(){
-peers.recordVersion(12);
+  void versionThatNoPeerReportsAnyMoreExpires() {
+    peers.recordVersion(12);
     for (int i = 0; i < 12; i++) {
       advance(1000);
       peers.recordVersion(11);
@@ -58,8 +58,8 @@
   }
 
   @Test
-void peerWithoutAVersionIsIgnored(){
-peers.recordVersion(0);
+  void peerWithoutAVersionIsIgnored() {
+    peers.recordVersion(0);
     advance(100);
     assertFalse(peers.storeIsBehind(1, now()));
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RateLimitedEngineSimulationTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RateLimitedEngineSimulationTest.java
@@ -57,14 +57,16 @@
       EngineArrivals engine = cluster.arrivalsAt(random.nextInt(engines));
       int node = random.nextInt(nodes);
       switch (random.nextInt(12)) {
-case 0,1->engine.advertise(AdvertisedRateLimit.of(random.nextInt(120)/10.0),cluster.nowMillis());
-case 2->engine.advertise(AdvertisedRateLimit.none(),cluster.nowMillis());
-case 3->cluster.restartNode(node);
-case 4->cluster.dropLoadReports=true;
-case 5,6->cluster.dropLoadReports=false;
-case 7->cluster.stepTimeOfDay(node,500+random.nextInt(5000));
-case 8->cluster.setStoreDisconnected(node,true);
-case 9->cluster.setStoreDisconnected(node,false);
+        case 0, 1 ->
+            engine.advertise(
+                AdvertisedRateLimit.of(random.nextInt(120) / 10.0), cluster.nowMillis());
+        case 2 -> engine.advertise(AdvertisedRateLimit.none(), cluster.nowMillis());
+        case 3 -> cluster.restartNode(node);
+        case 4 -> cluster.dropLoadReports = true;
+        case 5, 6 -> cluster.dropLoadReports = false;
+        case 7 -> cluster.stepTimeOfDay(node, 500 + random.nextInt(5000));
+        case 8 -> cluster.setStoreDisconnected(node, true);
+        case 9 -> cluster.setStoreDisconnected(node, false);
         default -> {}
       }
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RateLimitedEngineTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/RateLimitedEngineTest.java
@@ -31,16 +31,17 @@
 
   private SimulatedCluster cluster = new SimulatedCluster(NODES, ENGINES, 7);
   private int nodes = NODES;
-private int sentRequests;
-private final List<RecordedResponse>responses=new ArrayList<>();
+  private int sentRequests;
+  private final List<RecordedResponse> responses = new ArrayList<>();
 
   /** Sends requests to the nodes round-robin. */
   private void sendRequests(int seconds, int perSecond) {
     for (int i = 0; i < seconds * perSecond; i++) {
-RecordedResponse response=cluster.sendRequest(sentRequests%nodes,"letter "+sentRequests);
-responses.add(response);
-sentRequests++;
-cluster.advance(1000/perSecond);
+      RecordedResponse response =
+          cluster.sendRequest(sentRequests % nodes, "letter " + sentRequests);
+      responses.add(response);
+      sentRequests++;
+      cluster.advance(1000 / perSecond);
     }
   }
 
@@ -52,8 +53,8 @@
     return cluster.arrivalsAt(LIMITED_ENGINE);
   }
 
-private void advertise(AdvertisedRateLimit limit){
-limitedEngine().advertise(limit,cluster.nowMillis());
+  private void advertise(AdvertisedRateLimit limit) {
+    limitedEngine().advertise(limit, cluster.nowMillis());
   }
 
   private long refusals() {
@@ -61,70 +62,70 @@
   }
 
   @Test
-void allNodesTogetherKeepToTheLimit(){
-sendRequests(8);
-advertise(AdvertisedRateLimit.of(LIMIT));
-sendRequests(12);
-assertEquals(0,limitedEngine().excess(cluster.nowMillis()));
+  void allNodesTogetherKeepToTheLimit() {
+    sendRequests(8);
+    advertise(AdvertisedRateLimit.of(LIMIT));
+    sendRequests(12);
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
   }
 
   @Test
-void limitOfASecondEngineHoldsToo(){
-advertise(AdvertisedRateLimit.of(LIMIT));
-sendRequests(12);
-cluster.arrivalsAt(2).advertise(AdvertisedRateLimit.of(4.1),cluster.nowMillis());
-sendRequests(12);
-assertEquals(0,limitedEngine().excess(cluster.nowMillis()));
-assertEquals(0,cluster.arrivalsAt(2).excess(cluster.nowMillis()));
+  void limitOfASecondEngineHoldsToo() {
+    advertise(AdvertisedRateLimit.of(LIMIT));
+    sendRequests(12);
+    cluster.arrivalsAt(2).advertise(AdvertisedRateLimit.of(4.1), cluster.nowMillis());
+    sendRequests(12);
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
+    assertEquals(0, cluster.arrivalsAt(2).excess(cluster.nowMillis()));
   }
 
   @Test
-void limitedEngineIsStillUsedWhileOthersHaveCapacity(){
-cluster=new SimulatedCluster(NODES,ENGINES,ENGINES,7);
-advertise(AdvertisedRateLimit.of(LIMIT));
-sendRequests(5);
-long from=cluster.nowMillis();
-sendRequests(20);
-long arrivals=limitedEngine().between(from,cluster.nowMillis());
-assertTrue(arrivals>=20&&arrivals<=LIMIT*20,arrivals+" requests in 20 s");
+  void limitedEngineIsStillUsedWhileOthersHaveCapacity() {
+    cluster = new SimulatedCluster(NODES, ENGINES, ENGINES, 7);
+    advertise(AdvertisedRateLimit.of(LIMIT));
+    sendRequests(5);
+    long from = cluster.nowMillis();
+    sendRequests(20);
+    long arrivals = limitedEngine().between(from, cluster.nowMillis());
+    assertTrue(arrivals >= 20 && arrivals <= LIMIT * 20, arrivals + " requests in 20 s");
   }
 
   @Test
-void noRequestIsRefusedWhileOtherEnginesHaveCapacity(){
-sendRequests(2);
-advertise(AdvertisedRateLimit.of(LIMIT));
-sendRequests(20);
+  void noRequestIsRefusedWhileOtherEnginesHaveCapacity() {
+    sendRequests(2);
+    advertise(AdvertisedRateLimit.of(LIMIT));
+    sendRequests(20);
     assertEquals(0, refusals());
   }
 
   @Test
-void engineIsUsedAsBeforeOnceItsLimitIsRemoved(){
-sendRequests(10);
-long usual=limitedEngine().between(cluster.nowMillis()-5000,cluster.nowMillis());
-advertise(AdvertisedRateLimit.of(LIMIT));
-sendRequests(10);
-advertise(AdvertisedRateLimit.none());
-sendRequests(3);
-long from=cluster.nowMillis();
-sendRequests(5);
-long after=limitedEngine().between(from,cluster.nowMillis());
+  void engineIsUsedAsBeforeOnceItsLimitIsRemoved() {
+    sendRequests(10);
+    long usual = limitedEngine().between(cluster.nowMillis() - 5000, cluster.nowMillis());
+    advertise(AdvertisedRateLimit.of(LIMIT));
+    sendRequests(10);
+    advertise(AdvertisedRateLimit.none());
+    sendRequests(3);
+    long from = cluster.nowMillis();
+    sendRequests(5);
+    long after = limitedEngine().between(from, cluster.nowMillis());
     assertTrue(after >= 0.7 * usual, after + " requests in 5 s, " + usual + " before");
   }
 
   @Test
-void limitHoldsIfLoadReportsAreLost(){
-cluster.dropLoadReports=true;
-sendRequests(5);
-advertise(AdvertisedRateLimit.of(LIMIT));
-sendRequests(60);
-assertEquals(0,limitedEngine().excess(cluster.nowMillis()));
+  void limitHoldsIfLoadReportsAreLost() {
+    cluster.dropLoadReports = true;
+    sendRequests(5);
+    advertise(AdvertisedRateLimit.of(LIMIT));
+    sendRequests(60);
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
     assertEquals(0, refusals());
   }
 
   @Test
-void limitHoldsWhileNodesRestart(){
-advertise(AdvertisedRateLimit.of(LIMIT));
-sendRequests(5);
+  void limitHoldsWhileNodesRestart() {
+    advertise(AdvertisedRateLimit.of(LIMIT));
+    sendRequests(5);
     for (int node = 0; node < NODES; node++) {
       cluster.restartNode(node);
       sendRequests(3);
@@ -134,11 +135,11 @@
 
   /** Guards against a limit that is lost when the engine's entry expires. */
   @Test
-void limitOutlivesTheEntryOfTheEngine(){
-cluster.dropLoadReports=true;
-sendRequests(3);
-advertise(AdvertisedRateLimit.of(0.5));
-sendRequests(6);
+  void limitOutlivesTheEntryOfTheEngine() {
+    cluster.dropLoadReports = true;
+    sendRequests(3);
+    advertise(AdvertisedRateLimit.of(0.5));
+    sendRequests(6);
     for (int i = 0; i < 6; i++) {
       cluster.relistEngine(LIMITED_ENGINE, 300);
       sendRequests(1);
@@ -149,57 +150,58 @@
   @Test
   void limitHoldsWithEighteenNodesInThreeDataCentres() {
     nodes = 18;
-cluster=new SimulatedCluster(nodes,6,3,7);
-sendRequests(5,125);
-advertise(AdvertisedRateLimit.of(2));
-sendRequests(30,125);
-assertEquals(0,limitedEngine().excess(cluster.nowMillis()));
-long arrivals=limitedEngine().between(cluster.nowMillis()-20_000,cluster.nowMillis());
-assertTrue(arrivals>=0.5*2*20&&arrivals<=2*20,arrivals+" requests in 20 s");
+    cluster = new SimulatedCluster(nodes, 6, 3, 7);
+    sendRequests(5, 125);
+    advertise(AdvertisedRateLimit.of(2));
+    sendRequests(30, 125);
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
+    long arrivals = limitedEngine().between(cluster.nowMillis() - 20_000, cluster.nowMillis());
+    assertTrue(arrivals >= 0.5 * 2 * 20 && arrivals <= 2 * 20, arrivals + " requests in 20 s");
   }
 
   @Test
   void limitHoldsWithManyMoreNodesThanRequestsPerSecond() {
     nodes = 120;
-cluster=new SimulatedCluster(nodes,4,7);
-sendRequests(5,250);
-advertise(AdvertisedRateLimit.of(1.5));
-sendRequests(30,250);
-assertEquals(0,limitedEngine().excess(cluster.nowMillis()));
-long arrivals=limitedEngine().between(cluster.nowMillis()-20_000,cluster.nowMillis());
-assertTrue(arrivals>=0.5*1.5*20&&arrivals<=1.5*20,arrivals+" requests in 20 s");
+    cluster = new SimulatedCluster(nodes, 4, 7);
+    sendRequests(5, 250);
+    advertise(AdvertisedRateLimit.of(1.5));
+    sendRequests(30, 250);
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
+    long arrivals = limitedEngine().between(cluster.nowMillis() - 20_000, cluster.nowMillis());
+    assertTrue(arrivals >= 0.5 * 1.5 * 20 && arrivals <= 1.5 * 20, arrivals + " requests in 20 s");
   }
 
   @Test
-void engineWithLimitZeroIsProbedAndUsedOnceTheLimitIsRemoved(){
-sendRequests(3);
-advertise(AdvertisedRateLimit.of(0));
-sendRequests(20);
-assertEquals(0,limitedEngine().excess(cluster.nowMillis()));
-advertise(AdvertisedRateLimit.none());
-sendRequests(15);
-long arrivals=limitedEngine().between(cluster.nowMillis()-3000,cluster.nowMillis());
-assertTrue(arrivals>REQUESTS_PER_SECOND/2,arrivals+" requests in 3 s");
+  void engineWithLimitZeroIsProbedAndUsedOnceTheLimitIsRemoved() {
+    sendRequests(3);
+    advertise(AdvertisedRateLimit.of(0));
+    sendRequests(20);
+    assertEquals(0, limitedEngine().excess(cluster.nowMillis()));
+    advertise(AdvertisedRateLimit.none());
+    sendRequests(15);
+    long arrivals = limitedEngine().between(cluster.nowMillis() - 3000, cluster.nowMillis());
+    assertTrue(arrivals > REQUESTS_PER_SECOND / 2, arrivals + " requests in 3 s");
   }
 
   @Test
-void onlyEngineGetsNearlyItsWholeLimit(){
-cluster=new SimulatedCluster(NODES,1,7);
-sendRequests(3);
-cluster.arrivalsAt(0).advertise(AdvertisedRateLimit.of(LIMIT),cluster.nowMillis());
-sendRequests(40);
-assertEquals(0,cluster.arrivalsAt(0).excess(cluster.nowMillis()));
-long arrivals=cluster.arrivalsAt(0).between(cluster.nowMillis()-20_000,cluster.nowMillis());
-assertTrue(arrivals>=0.8*LIMIT*20,arrivals+" requests in 20 s");
+  void onlyEngineGetsNearlyItsWholeLimit() {
+    cluster = new SimulatedCluster(NODES, 1, 7);
+    sendRequests(3);
+    cluster.arrivalsAt(0).advertise(AdvertisedRateLimit.of(LIMIT), cluster.nowMillis());
+    sendRequests(40);
+    assertEquals(0, cluster.arrivalsAt(0).excess(cluster.nowMillis()));
+    long arrivals =
+        cluster.arrivalsAt(0).between(cluster.nowMillis() - 20_000, cluster.nowMillis());
+    assertTrue(arrivals >= 0.8 * LIMIT * 20, arrivals + " requests in 20 s");
   }
 
   @Test
   void nodeWithoutAShareOfTheOnlyEngineRefusesAtOnceAsNotRun() {
-cluster=new SimulatedCluster(NODES,1,7);
-sendRequests(3);
+    cluster = new SimulatedCluster(NODES, 1, 7);
+    sendRequests(3);
     // The limit is so low that one node has the whole share.
-cluster.arrivalsAt(0).advertise(AdvertisedRateLimit.of(0.9),cluster.nowMillis());
-sendRequests(3);
+    cluster.arrivalsAt(0).advertise(AdvertisedRateLimit.of(0.9), cluster.nowMillis());
+    sendRequests(3);
     int refused = 0;
     for (int node = 0; node < NODES; node++) {
       Optional<Refusal> refusal = cluster.sendRequest(node, "now").refusal;
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCaller.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCaller.java
@@ -23,9 +23,10 @@
  * may be aborted only because its engine terminated the request, its deadline passed or the caller
  * disconnected, but not because the node abandoned an engine that would have continued.
  */
-final class SimulatedCaller implements CallerResponse{
+final class SimulatedCaller implements CallerResponse {
   /** Problem: the node abandoned an engine for another one, which rejected the request. */
-static final String ABANDONED_FOR_FULL_ENGINE="aborted after a move to an engine without capacity";
+  static final String ABANDONED_FOR_FULL_ENGINE =
+      "aborted after a move to an engine without capacity";
 
   /**
    * The timeout of the first event of a stream; a request that was never sent is refused by then.
@@ -39,14 +40,14 @@
   private final EntryRoute route;
   private final int node;
   private final LongSupplier clock;
-private final LongSupplier stalled;
-private final long sentAt;
-private long stalledBefore;
-private final RecordedResponse response=new RecordedResponse();
+  private final LongSupplier stalled;
+  private final long sentAt;
+  private long stalledBefore;
+  private final RecordedResponse response = new RecordedResponse();
   private final List<String> problems = new ArrayList<>();
-private Optional<CallerResponse.Listener>listener=Optional.empty();
-private long acceptedAt;
-private long finishedAt;
+  private Optional<CallerResponse.Listener> listener = Optional.empty();
+  private long acceptedAt;
+  private long finishedAt;
 
   /** From acceptance by the node until the end of the request, without stalls of the node. */
   private long elapsedMillis;
@@ -75,10 +76,10 @@
   }
 
   /** Records that the node accepted the request. */
-void onAccepted(Flow next){
-acceptedAt=clock.getAsLong();
-stalledBefore=stalled.getAsLong();
-listener=Optional.of(next);
+  void onAccepted(CallerResponse.Listener next) {
+    acceptedAt = clock.getAsLong();
+    stalledBefore = stalled.getAsLong();
+    listener = Optional.of(next);
   }
 
   /** Closes the connection; {@link #notifyNode} notifies the node. */
@@ -87,10 +88,10 @@
   }
 
   /** Notifies the node if the caller has disconnected. */
-void notifyNode(){
-if(disconnected&&!nodeNotified){
-nodeNotified=true;
-listener.orElseThrow().disconnected();
+  void notifyNode() {
+    if (disconnected && !nodeNotified) {
+      nodeNotified = true;
+      listener.orElseThrow().disconnected();
     }
   }
 
@@ -132,10 +133,10 @@
   }
 
   @Override
-public void head(ResponseHead head){
-check(response.status.isEmpty(),"a second head");
-checkNotFinished("a head");
-response.head(head);
+  public void head(ResponseHead head) {
+    check(response.status.isEmpty(), "a second head");
+    checkNotFinished("a head");
+    response.head(head);
   }
 
   @Override
@@ -153,10 +154,10 @@
   }
 
   @Override
-public void abort(){
-checkNotFinished("an abort");
-response.abort();
-recordFinish();
+  public void abort() {
+    checkNotFinished("an abort");
+    response.abort();
+    recordFinish();
   }
 
   @Override
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCluster.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCluster.java
@@ -199,7 +199,7 @@
           number,
           SERVICE,
           Optional.of(LayerRange.of(0, LAYERS)),
-detailed?Incarnation.startedAt(FIRST_START_MILLIS):Incarnation.UNKNOWN);
+          detailed ? Incarnation.startedAt(FIRST_START_MILLIS) : Incarnation.UNKNOWN);
     }
 
     Engine(int number, String service, Optional<LayerRange> layers, Incarnation incarnation) {
@@ -280,16 +280,18 @@
     private void accept(EngineRequest request) {
       backoffs.recordCall(request.node, nowMillis());
       drain.arrived(request.node, nowMillis());
-if(hasNoLayers()){
-request.record.finish(AttemptRecord.Outcome.REJECTED);
-FakeResponseHead head=new FakeResponseHead(MISDIRECTED,true,true,Optional.of(endpoint.address()),EndpointSignal.NONE);
-request.deliver(()->request.listener.head(head));
+      if (hasNoLayers()) {
+        request.record.finish(AttemptRecord.Outcome.REJECTED);
+        FakeResponseHead head =
+            new FakeResponseHead(
+                MISDIRECTED, true, true, Optional.of(endpoint.address()), EndpointSignal.NONE);
+        request.deliver(() -> request.listener.head(head));
         return;
       }
-if(rejectionBackoffMillis.isPresent()){
-request.record.finish(AttemptRecord.Outcome.REJECTED);
-FakeResponseHead head=rejection(request.node,request.isSenderAlive());
-request.deliver(()->request.listener.head(head));
+      if (rejectionBackoffMillis.isPresent()) {
+        request.record.finish(AttemptRecord.Outcome.REJECTED);
+        FakeResponseHead head = rejection(request.node, request.isSenderAlive());
+        request.deliver(() -> request.listener.head(head));
         return;
       }
       if (request.crashes()) {
@@ -301,27 +303,27 @@
       schedule(START_DELAY_MILLIS, () -> startProcessing(request));
     }
 
-private FakeResponseHead rejection(int node,boolean senderAlive){
-RequestedBackoff backoff=RequestedBackoff.none();
-if(rejectionBackoffMillis.getAsInt()>0){
-if(senderAlive){
-backoffs.requestBackoff(node,nowMillis(),rejectionBackoffMillis.getAsInt());
+    private FakeResponseHead rejection(int node, boolean senderAlive) {
+      RequestedBackoff backoff = RequestedBackoff.none();
+      if (rejectionBackoffMillis.getAsInt() > 0) {
+        if (senderAlive) {
+          backoffs.requestBackoff(node, nowMillis(), rejectionBackoffMillis.getAsInt());
         }
-backoff=RequestedBackoff.of(Duration.ofMillis(rejectionBackoffMillis.getAsInt()));
+        backoff = RequestedBackoff.of(Duration.ofMillis(rejectionBackoffMillis.getAsInt()));
       }
-return FakeResponseHead.rejected(signal(node,senderAlive).withBackoff(backoff));
+      return FakeResponseHead.rejected(signal(node, senderAlive).withBackoff(backoff));
     }
 
     /** Returns the signal on each answer to a node, without a backoff. */
-private EndpointSignal signal(int node,boolean senderAlive){
-EndpointSignal signal=EndpointSignal.NONE.withLimit(arrivals.limit());
+    private EndpointSignal signal(int node, boolean senderAlive) {
+      EndpointSignal signal = EndpointSignal.NONE.withLimit(arrivals.limit());
       if (!drain.isLeaving()) {
         return signal;
       }
       if (senderAlive) {
         drain.answered(node, nowMillis());
       }
-return signal.asLeaving();
+      return signal.asLeaving();
     }
 
     private void startProcessing(EngineRequest request) {
@@ -336,8 +338,9 @@
         failRequest(request);
         return;
       }
-FakeResponseHead head=FakeResponseHead.of(200,signal(request.node,request.isSenderAlive()));
-request.deliver(()->request.listener.head(head));
+      FakeResponseHead head =
+          FakeResponseHead.of(200, signal(request.node, request.isSenderAlive()));
+      request.deliver(() -> request.listener.head(head));
       arrivals.answered(request.node, nowMillis());
       if (request.crashes()) {
         schedule(CRASH_DELAY_MILLIS, this::crash);
@@ -345,11 +348,11 @@
       sendEvent(request, detailed ? request.firstEvent() : 1);
     }
 
-private void failRequest(EngineRequest request){
-activeRequests.remove(request);
-request.record.finish(AttemptRecord.Outcome.ENGINE_FAILED);
-request.deliver(()->request.listener.head(FakeResponseHead.of(FAILURE)));
-request.deliver(request.listener::end);
+    private void failRequest(EngineRequest request) {
+      activeRequests.remove(request);
+      request.record.finish(AttemptRecord.Outcome.ENGINE_FAILED);
+      request.deliver(() -> request.listener.head(FakeResponseHead.of(FAILURE)));
+      request.deliver(request.listener::end);
     }
 
     private void sendEvent(EngineRequest request, int number) {
@@ -484,17 +487,17 @@
   record Arrival(int node, long atMillis) {}
 
   /** One attempt of a request at an engine. */
-private final class EngineRequest implements EndpointTransport.EndpointCall{
+  private final class EngineRequest implements EndpointTransport.EndpointCall {
     private final int node;
     private final Node sender;
     private final Attempt attempt;
-private final EndpointTransport.Listener listener;
-private final AttemptRecord record;
+    private final EndpointTransport.Listener listener;
+    private final AttemptRecord record;
 
     /** The incarnations of the later engines on the path, as of when the path was set. */
     private ImmutableList<Engine> laterEngines = ImmutableList.of();
 
-EngineRequest(int node,Node sender,Attempt attempt,EndpointTransport.Listener listener){
+    EngineRequest(int node, Node sender, Attempt attempt, EndpointTransport.Listener listener) {
       this.node = node;
       this.sender = sender;
       this.attempt = attempt;
@@ -581,8 +584,8 @@
     }
 
     @Override
-public Optional<Duration>callerTimeout(){
-return Optional.of(timeout);
+    public Optional<Duration> callerTimeout() {
+      return Optional.of(timeout);
     }
 
     @Override
@@ -601,15 +604,13 @@
     private final SimulatedEventLoop eventLoop =
         new SimulatedEventLoop(SimulatedCluster.this.clock);
     private final Fleet fleet;
-private EntryConfiguration active=configuration;
-private final StoreLink link=new StoreLink(eventLoop,store);
-private final BoxClock time=new BoxClock(eventLoop);
+    private EntryConfiguration active = configuration;
+    private final StoreLink link = new StoreLink(eventLoop, store);
+    private final BoxClock time = new BoxClock(eventLoop);
     private final Forwarder forwarder;
     private final LoadExchange exchange;
-private final int index;
-private BiConsumer<FleetEndpoint,EndpointSignal>signalListener=(engine,signal)->{
-}
-;
+    private final int index;
+    private BiConsumer<FleetEndpoint, EndpointSignal> signalListener = (engine, signal) -> {};
 
     /** Starts a new incarnation of the node at an index. */
     Node(int index) {
@@ -617,8 +618,8 @@
       int number = incarnations++;
       Random random = new Random(seed + number);
       Counters counters = Counters.in(meters);
-fleet=Fleet.create(eventLoop,counters,EntryNode.RELIST_GRACE);
-onStatement(fleet.signals()::recordCallAnswer);
+      fleet = Fleet.create(eventLoop, counters, EntryNode.RELIST_GRACE);
+      onStatement(fleet.signals()::recordCallAnswer);
       exchange =
           LoadExchange.create(
               eventLoop,
@@ -627,8 +628,10 @@
               dataCentre(index),
               () -> peersOf(index),
               nodes::size,
-()->active.version(),this::sendReport);
-RateLimitShares.maintain(eventLoop,random,fleet,boxAt(index),dataCentre(index),()->peersOf(index));
+              () -> active.version(),
+              this::sendReport);
+      RateLimitShares.maintain(
+          eventLoop, random, fleet, boxAt(index), dataCentre(index), () -> peersOf(index));
       SharedQuarantine quarantine =
           SharedQuarantine.create(
               eventLoop, random, link, QUARANTINE, "n" + number, fleet, counters);
@@ -654,7 +657,7 @@
               eventLoop,
               random,
               fleet,
-HealthChecker.create(eventLoop,fleet,this),
+              HealthChecker.create(eventLoop, fleet, this),
               this,
               (attempt, listener) -> sendAttempt(index, this, attempt, listener),
               quarantine,
@@ -687,18 +690,18 @@
       }
     }
 
-private void receiveReport(byte[]report){
-eventLoop.receive(()->exchange.receive(LoadCodec.decode(report)));
+    private void receiveReport(byte[] report) {
+      eventLoop.receive(() -> exchange.receive(LoadCodec.decode(report)));
     }
 
-private void configure(EntryConfiguration next,ForwardingLimits nextLimits){
-active=next;
-forwarder.updateLimits(nextLimits);
+    private void configure(EntryConfiguration next, ForwardingLimits nextLimits) {
+      active = next;
+      forwarder.updateLimits(nextLimits);
     }
 
     @Override
-public void onStatement(BiConsumer<FleetEndpoint,EndpointSignal>listener){
-signalListener=listener;
+    public void onStatement(BiConsumer<FleetEndpoint, EndpointSignal> listener) {
+      signalListener = listener;
     }
 
     /** Records a status call or an order at an engine; returns whether the engine rejects it. */
@@ -707,11 +710,12 @@
         return true;
       }
       Engine engine = engines.get(endpoint.address());
-engine.backoffs.recordCall(index,nowMillis());
-boolean rejected=engine.rejectionBackoffMillis.isPresent();
-EndpointSignal signal=rejected?engine.rejection(index,true).statement():engine.signal(index,true);
-signalListener.accept(endpoint,signal);
-return rejected;
+      engine.backoffs.recordCall(index, nowMillis());
+      boolean rejected = engine.rejectionBackoffMillis.isPresent();
+      EndpointSignal signal =
+          rejected ? engine.rejection(index, true).statement() : engine.signal(index, true);
+      signalListener.accept(endpoint, signal);
+      return rejected;
     }
 
     @Override
@@ -724,8 +728,8 @@
       if (engine.stopped) {
         return CompletableFuture.failedFuture(refused());
       }
-if(isRejected(endpoint)){
-return CompletableFuture.failedFuture(new BackoffRequestedException());
+      if (isRejected(endpoint)) {
+        return CompletableFuture.failedFuture(new BackoffRequestedException());
       }
       return CompletableFuture.completedFuture(
           new EngineReport(
@@ -874,8 +878,9 @@
     return engines.get(HostPort.parse(item.value())).endpoint;
   }
 
-private EndpointTransport.EndpointCall sendAttempt(int index,Node sender,Attempt attempt,EndpointTransport.Listener listener){
-EngineRequest request=new EngineRequest(index,sender,attempt,listener);
+  private EndpointTransport.EndpointCall sendAttempt(
+      int index, Node sender, Attempt attempt, EndpointTransport.Listener listener) {
+    EngineRequest request = new EngineRequest(index, sender, attempt, listener);
     Engine engine = engines.get(attempt.endpoint().address());
     if (nodes.get(index) == sender) { // Drops the requests of an incarnation that has stopped.
       attempts.computeIfAbsent(attempt.request().id(), id -> new ArrayList<>()).add(request.record);
@@ -886,18 +891,24 @@
   }
 
   /** Sends a node a request with the given body; returns the response as it arrives. */
-RecordedResponse sendRequest(int node,String body){
-RecordedResponse response=new RecordedResponse();
-RequestSize expectedSize=new RequestSize(800,200);
-SimulatedRequest request=new SimulatedRequest("q"+sentRequests++,"/letters/",body,Duration.ofSeconds(20),expectedSize);
-nodes.get(node%nodes.size()).forwarder.forward(request,response);
-return response;
+  RecordedResponse sendRequest(int node, String body) {
+    RecordedResponse response = new RecordedResponse();
+    RequestSize expectedSize = new RequestSize(800, 200);
+    SimulatedRequest request =
+        new SimulatedRequest(
+            "q" + sentRequests++, "/letters/", body, Duration.ofSeconds(20), expectedSize);
+    nodes.get(node % nodes.size()).forwarder.forward(request, response);
+    return response;
   }
 
   /** Sends a node a request; hands over the node's listener for events of the caller. */
-void sendRequest(int index,SimulatedRequest request,CallerResponse response,Consumer<CallerResponse.Listener>onTaken){
-Node node=nodes.get(index);
-node.eventLoop.receive(()->onTaken.accept(node.forwarder.forward(request,response)));
+  void sendRequest(
+      int index,
+      SimulatedRequest request,
+      CallerResponse response,
+      Consumer<CallerResponse.Listener> onTaken) {
+    Node node = nodes.get(index);
+    node.eventLoop.receive(() -> onTaken.accept(node.forwarder.forward(request, response)));
   }
 
   /** Runs a task on a node's event loop, which may be stalled. */
@@ -1022,9 +1033,9 @@
   }
 
   /** Restores the store from its backup; engines write their entries again a little later. */
-void restoreStore(){
-store.restoreBackup();
-schedule(RELIST_DELAY_MILLIS,this::relistEngines);
+  void restoreStore() {
+    store.restoreBackup();
+    schedule(RELIST_DELAY_MILLIS, this::relistEngines);
   }
 
   private void relistEngines() {
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StopPlanTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StopPlanTest.java
@@ -26,26 +26,26 @@
 
   // Guards against streams that are accepted too late and aborted at the end of the stop.
   @Test
-void noRequestIsAcceptedAfterTheBalancerLag(){
-Duration latest=ANSWER_GUARANTEED_AFTER.minus(SIGNAL_DELAY).minus(StopPlan.CHECK_INTERVAL);
-assertFalse(plan.acceptsRequests(latest.plusMillis(1)));
-assertTrue(plan.closesIdleConnections(latest.plusMillis(1)));
+  void noRequestIsAcceptedAfterTheBalancerLag() {
+    Duration latest = ANSWER_GUARANTEED_AFTER.minus(SIGNAL_DELAY).minus(StopPlan.CHECK_INTERVAL);
+    assertFalse(plan.acceptsRequests(latest.plusMillis(1)));
+    assertTrue(plan.closesIdleConnections(latest.plusMillis(1)));
   }
 
   @Test
-void requestsAreAcceptedUntilTheBalancerHasRemovedTheNode(){
-assertTrue(plan.acceptsRequests(BALANCER_REMOVAL.plusMillis(500)));
-assertFalse(plan.closesIdleConnections(BALANCER_REMOVAL.plusMillis(500)));
+  void requestsAreAcceptedUntilTheBalancerHasRemovedTheNode() {
+    assertTrue(plan.acceptsRequests(BALANCER_REMOVAL.plusMillis(500)));
+    assertFalse(plan.closesIdleConnections(BALANCER_REMOVAL.plusMillis(500)));
   }
 
   @Test
-void noRequestIsAcceptedInTheSecondHalfOfAShortGrace(){
-assertFalse(StopPlan.within(Duration.ofSeconds(2)).acceptsRequests(Duration.ofMillis(1001)));
+  void noRequestIsAcceptedInTheSecondHalfOfAShortGrace() {
+    assertFalse(StopPlan.within(Duration.ofSeconds(2)).acceptsRequests(Duration.ofMillis(1001)));
   }
 
   @Test
-void processStopsBeforeItIsKilled(){
-assertFalse(plan.isExpired(Duration.ofSeconds(7)));
-assertTrue(plan.isExpired(GRACE.minusMillis(400)));
+  void processStopsBeforeItIsKilled() {
+    assertFalse(plan.isExpired(Duration.ofSeconds(7)));
+    assertTrue(plan.isExpired(GRACE.minusMillis(400)));
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreCostTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreCostTest.java
@@ -71,8 +71,8 @@
 
   @ParameterizedTest
   @ValueSource(ints = {8, 95, 350})
-void callsAfterARestoreAreAtMostTwiceThoseOfAColdStart(int count){
-store.takeBackup();
+  void callsAfterARestoreAreAtMostTwiceThoseOfAColdStart(int count) {
+    store.takeBackup();
     int before = store.calls();
     for (int index = 0; index < count; index++) {
       startNode(index);
@@ -80,9 +80,9 @@
     advance(COUNTED_MILLIS);
     int coldStart = store.calls() - before;
     advance(10_000);
-store.restoreBackup();
-int afterRestore=callsWithin(COUNTED_MILLIS);
-assertTrue(afterRestore<=2*coldStart,afterRestore+" calls, cold start "+coldStart);
+    store.restoreBackup();
+    int afterRestore = callsWithin(COUNTED_MILLIS);
+    assertTrue(afterRestore <= 2 * coldStart, afterRestore + " calls, cold start " + coldStart);
     advance(10_000);
     assertEquals(count, nodes.get(0).liveNodes());
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreSimulation.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreSimulation.java
@@ -115,7 +115,9 @@
               clock,
               nodeRandom,
               link,
-time.suspensionDetector(),VANEWORKS_PREFIX,"box"+index,
+              time.suspensionDetector(),
+              VANEWORKS_PREFIX,
+              "box" + index,
               "dc1",
               "run" + incarnations++,
               () -> Optional.of(new HostPort("10.1.0.1", 7000 + index)));
@@ -234,9 +236,9 @@
     }
     store.down = false;
     nodes.forEach(node -> node.link.cut(false));
-nodes.forEach(node->node.link.delayAnswers(0));
-advance(SETTLE_MILLIS);
-checkSettled();
+    nodes.forEach(node -> node.link.delayAnswers(0));
+    advance(SETTLE_MILLIS);
+    checkSettled();
     return ImmutableList.copyOf(problems);
   }
 
@@ -248,11 +250,11 @@
   }
 
   /** Delays the store's answers to a random node from now on, or ends the delay. */
-private void changeAnswerDelay(Random delayRandom){
-Node node=nodes.get(delayRandom.nextInt(nodes.size()));
-switch(delayRandom.nextInt(8)){
-case 0,1->node.link.delayAnswers(delayRandom.nextInt(MAX_ANSWER_DELAY_MILLIS));
-case 2->node.link.delayAnswers(0);
+  private void changeAnswerDelay(Random delayRandom) {
+    Node node = nodes.get(delayRandom.nextInt(nodes.size()));
+    switch (delayRandom.nextInt(8)) {
+      case 0, 1 -> node.link.delayAnswers(delayRandom.nextInt(MAX_ANSWER_DELAY_MILLIS));
+      case 2 -> node.link.delayAnswers(0);
       default -> {}
     }
   }
@@ -273,9 +275,9 @@
         node.stop(random.nextBoolean());
         nodes.set(index, new Node(index));
       }
-case 10,11->store.takeBackup();
-case 12,13->restoreStore();
-case 14->store.backupsHaveNoHistory=random.nextBoolean();
+      case 10, 11 -> store.takeBackup();
+      case 12, 13 -> restoreStore();
+      case 14 -> store.backupsHaveNoHistory = random.nextBoolean();
       default -> {}
     }
   }
@@ -301,7 +303,7 @@
     store.down = random.nextBoolean();
     advance(1 + random.nextInt(MAX_STEP_MILLIS));
     store.down = false;
-store.restoreBackup();
+    store.restoreBackup();
     // Opens a lease, whose number may have been issued before the restore.
     CompletableFuture<Long> unused = store.openLease(Duration.ofSeconds(1 + random.nextInt(20)));
     clock.schedule(
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/StoreRestoreTest.java
@@ -14,7 +14,7 @@
   private static final int ENGINES = 5;
   private static final int INTERVAL_MILLIS = 40;
 
-private final List<RecordedResponse>responses=new ArrayList<>();
+  private final List<RecordedResponse> responses = new ArrayList<>();
 
   private void sendRequests(SimulatedCluster cluster, int millis) {
     for (int passed = 0; passed < millis; passed += INTERVAL_MILLIS) {
@@ -25,19 +25,17 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 100, 500, 900})
-void requestsAreServedDuringRestores(int outageMillis){
-SimulatedCluster cluster=new SimulatedCluster(NODES,ENGINES,outageMillis);
-sendRequests(cluster,1000);
-for(int restore=0;
-restore<4;
-restore++){
-cluster.store.takeBackup();
-sendRequests(cluster,3000);
-cluster.store.down=outageMillis>0;
-sendRequests(cluster,outageMillis);
-cluster.store.down=false;
-cluster.restoreStore();
-sendRequests(cluster,3000);
+  void requestsAreServedDuringRestores(int outageMillis) {
+    SimulatedCluster cluster = new SimulatedCluster(NODES, ENGINES, outageMillis);
+    sendRequests(cluster, 1000);
+    for (int restore = 0; restore < 4; restore++) {
+      cluster.store.takeBackup();
+      sendRequests(cluster, 3000);
+      cluster.store.down = outageMillis > 0;
+      sendRequests(cluster, outageMillis);
+      cluster.store.down = false;
+      cluster.restoreStore();
+      sendRequests(cluster, 3000);
     }
     cluster.advance(2000);
     assertEquals(responses.size(), responses.stream().filter(response -> response.whole).count());
@@ -45,16 +43,16 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 500})
-void requestsAreServedIfTheBackupListsNoEngine(int outageMillis){
-SimulatedCluster cluster=new SimulatedCluster(NODES,ENGINES,outageMillis);
-cluster.store.takeEmptyBackup();
-sendRequests(cluster,3000);
-cluster.store.down=outageMillis>0;
-sendRequests(cluster,outageMillis);
-cluster.store.down=false;
-cluster.restoreStore();
-sendRequests(cluster,6000);
-cluster.advance(2000);
-assertEquals(responses.size(),responses.stream().filter(response->response.whole).count());
+  void requestsAreServedIfTheBackupListsNoEngine(int outageMillis) {
+    SimulatedCluster cluster = new SimulatedCluster(NODES, ENGINES, outageMillis);
+    cluster.store.takeEmptyBackup();
+    sendRequests(cluster, 3000);
+    cluster.store.down = outageMillis > 0;
+    sendRequests(cluster, outageMillis);
+    cluster.store.down = false;
+    cluster.restoreStore();
+    sendRequests(cluster, 6000);
+    cluster.advance(2000);
+    assertEquals(responses.size(), responses.stream().filter(response -> response.whole).count());
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SuspendedBoxTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SuspendedBoxTest.java
@@ -16,17 +16,17 @@
 final class SuspendedBoxTest {
   private final SimulatedCluster cluster = new SimulatedCluster(1, 3, 5);
 
-private RecordedResponse sendAndAwaitResponse(){
-RecordedResponse response=cluster.sendRequest(0,"letter");
-cluster.advance(2000);
-return response;
+  private RecordedResponse sendAndAwaitResponse() {
+    RecordedResponse response = cluster.sendRequest(0, "letter");
+    cluster.advance(2000);
+    return response;
   }
 
   @Test
-void requestAfterASuspensionIsRefusedIfTheConfigurationWasConfirmedBefore(){
-cluster.stepTimeOfDay(0,6000);
-RecordedResponse response=sendAndAwaitResponse();
-assertEquals(Reason.CONFIGURATION_STALE,response.refusal.get().reason());
+  void requestAfterASuspensionIsRefusedIfTheConfigurationWasConfirmedBefore() {
+    cluster.stepTimeOfDay(0, 6000);
+    RecordedResponse response = sendAndAwaitResponse();
+    assertEquals(Reason.CONFIGURATION_STALE, response.refusal.get().reason());
   }
 
   @Test
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/ConfigurationSchedule.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/ConfigurationSchedule.java
@@ -109,8 +109,8 @@
     }
   }
 
-private void clearFaults(){
-fleet.store().setDown(false);
+  private void clearFaults() {
+    fleet.store().setDown(false);
     fleet.store().loseAnswers(0);
     fleet.store().delayAnswers(Duration.ZERO);
     fleet.peers().restoreLinks();
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/OnceSchedule.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/OnceSchedule.java
@@ -172,18 +172,18 @@
         fleet.addNode(name);
       }
       case 4 -> {
-fleet.peers().blockLink(address,fleet.addressOf(other));
-scheduleAfter(length,()->fleet.peers().restoreLinks());
+        fleet.peers().blockLink(address, fleet.addressOf(other));
+        scheduleAfter(length, () -> fleet.peers().restoreLinks());
       }
       case 5 -> fleet.peers().loseReplies(address, count);
       case 6 -> {
-fleet.store().setDown(true);
-scheduleAfter(length,()->fleet.store().setDown(false));
+        fleet.store().setDown(true);
+        scheduleAfter(length, () -> fleet.store().setDown(false));
       }
       case 7 -> fleet.store().loseAnswers(count);
       case 8 -> {
-fleet.store().delayAnswers(Duration.ofMillis(length/10));
-scheduleAfter(length,()->fleet.store().delayAnswers(Duration.ZERO));
+        fleet.store().delayAnswers(Duration.ofMillis(length / 10));
+        scheduleAfter(length, () -> fleet.store().delayAnswers(Duration.ZERO));
       }
       default -> {
         fleet.endpoints().freeze(service);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/PausedExecutorTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/PausedExecutorTest.java
@@ -21,11 +21,12 @@
   // A stalled process runs its overdue timers before it reads its sockets. Guards against tests of
   // stalled nodes that pass only because the simulated clock delivers arrivals first.
   @Test
-void overdueTimersRunBeforePendingArrivals(){
-clock.deliver(()->record("arrival"),Duration.ofMillis(10));
-clock.schedule(()->clock.execute(()->record("task of timer")),Duration.ofMillis(50));
-clock.schedule(()->clock.schedule(()->record("later"),Duration.ofMillis(1)),Duration.ZERO);
-clock.stall(Duration.ofMillis(100));
+  void overdueTimersRunBeforePendingArrivals() {
+    clock.deliver(() -> record("arrival"), Duration.ofMillis(10));
+    clock.schedule(() -> clock.execute(() -> record("task of timer")), Duration.ofMillis(50));
+    clock.schedule(
+        () -> clock.schedule(() -> record("later"), Duration.ofMillis(1)), Duration.ZERO);
+    clock.stall(Duration.ofMillis(100));
     clock.advance(Duration.ofMillis(1));
     assertEquals(List.of("task of timer at 100", "arrival at 100", "later at 101"), events);
   }
@@ -42,7 +43,7 @@
   void cancelledArrivalIsNotDelivered() {
     var arrival = clock.deliver(() -> record("arrival"), Duration.ofMillis(10));
     clock.schedule(arrival::cancel, Duration.ofMillis(20));
-clock.stall(Duration.ofMillis(30));
-assertEquals(List.of(),events);
+    clock.stall(Duration.ofMillis(30));
+    assertEquals(List.of(), events);
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/StreamSchedule.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/StreamSchedule.java
@@ -138,12 +138,12 @@
     return sentRequests.stream().allMatch(sent -> sent.answer().isEnded());
   }
 
-private void checkResults(List<String>problems){
-AnswerVerifier judge=fleet.verifier();
-for(SentRequest sent:sentRequests){
-problems.addAll(judge.problemsOf(sent.answer(),sent.tokens(),sent.repeatable()));
-if(sent.repeatable()&&!sent.answer().isComplete()){
-problems.add("repeatable, but failed: "+sent.answer().refusal());
+  private void checkResults(List<String> problems) {
+    AnswerVerifier judge = fleet.verifier();
+    for (SentRequest sent : sentRequests) {
+      problems.addAll(judge.problemsOf(sent.answer(), sent.tokens(), sent.repeatable()));
+      if (sent.repeatable() && !sent.answer().isComplete()) {
+        problems.add("repeatable, but failed: " + sent.answer().refusal());
       }
     }
     for (EngineCore engine : fleet.endpoints().engines()) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/DelayedHealthCheckerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/fleet/DelayedHealthCheckerTest.java
@@ -100,8 +100,8 @@
   @Test
   void engineWithUnreadAnswersIsNotSuspected() {
     health.check(engine);
-clock.stall(LOOP_PAUSE);
-clock.stall(LOOP_PAUSE);
+    clock.stall(LOOP_PAUSE);
+    clock.stall(LOOP_PAUSE);
     clock.advance(Duration.ofMillis(100));
     assertEquals(0, suspicions);
     assertEquals(3, probes);
@@ -116,7 +116,7 @@
     health.check(engine);
     for (int i = 0; i < 4; i++) {
       assertFalse(engine.suspected());
-clock.stall(LOOP_PAUSE);
+      clock.stall(LOOP_PAUSE);
     }
     assertTrue(engine.suspected());
     assertEquals(4, probes);
@@ -127,7 +127,7 @@
   void deadEngineIsSuspectedAfterTwoPunctualProbes() {
     alive = false;
     health.check(engine);
-clock.stall(LOOP_PAUSE);
+    clock.stall(LOOP_PAUSE);
     clock.advance(Duration.ofMillis(200));
     assertTrue(engine.suspected());
     assertEquals(3, probes);
@@ -138,8 +138,8 @@
   void deadEngineIsSuspectedAfterTwoProbesWithToleratedDelay() {
     alive = false;
     health.check(engine);
-clock.stall(TOLERATED_PAUSE);
-clock.stall(TOLERATED_PAUSE);
+    clock.stall(TOLERATED_PAUSE);
+    clock.stall(TOLERATED_PAUSE);
     assertTrue(engine.suspected());
     assertEquals(2, probes);
     assertEquals(0, disregardedTimeouts());
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/LateNodeProgressTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/LateNodeProgressTest.java
@@ -49,9 +49,9 @@
   // Guards against probing engines whose events are unread in the socket of a node whose event loop
   // was blocked.
   @Test
-void streamWithUnreadEventsIsNotStalled(){
-eventArrivesAfter(100);
-node.clock.stall(PAUSE);
+  void streamWithUnreadEventsIsNotStalled() {
+    eventArrivesAfter(100);
+    node.clock.stall(PAUSE);
     node.advance(100);
     assertEquals(List.of(), node.control.probed);
     assertEquals(1, ignoredStalls());
@@ -65,8 +65,8 @@
     node.advance(400);
     running.event(EVENTS + 1);
     node.engine(2, 0, 80);
-eventArrivesAfter(100);
-node.clock.stall(PAUSE);
+    eventArrivesAfter(100);
+    node.clock.stall(PAUSE);
     node.advance(100);
     assertFalse(running.cancelled);
     assertEquals(1, node.sent.size());
@@ -76,7 +76,7 @@
   @Test
   void silentStreamIsDetectedSoonAfterNodePause() {
     node.control.dead.add(engine.address());
-node.clock.stall(PAUSE);
+    node.clock.stall(PAUSE);
     node.advance(10);
     assertEquals(Set.of(engine.address()), Set.copyOf(node.control.probed));
   }
@@ -86,8 +86,8 @@
   void silentStreamIsDetectedByNodeThatIsAlwaysLate() {
     node.control.dead.add(engine.address());
     for (int i = 0; i < 3; i++) {
-assertTrue(node.control.probed.isEmpty());
-node.clock.stall(PAUSE);
+      assertTrue(node.control.probed.isEmpty());
+      node.clock.stall(PAUSE);
     }
     assertEquals(Set.of(engine.address()), Set.copyOf(node.control.probed));
   }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/RunningStreamTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/RunningStreamTest.java
@@ -146,11 +146,11 @@
   // Guards against a stream that is cut when its engine leaves: no other engine had its layers when
   // the engine announced that it was leaving, and one was added later.
   @Test
-void streamLeavesLeavingEngineOnceAnotherHasItsLayers(){
-startStream(NodeLimits.defaults());
-fleet.boxes().markLeaving("a1");
-fleet.clock().advance(UNRESPONSIVE_TIME);
-EngineCore other=addEngine("a2",0,SPLIT_LAYER);
+  void streamLeavesLeavingEngineOnceAnotherHasItsLayers() {
+    startStream(NodeLimits.defaults());
+    fleet.boxes().markLeaving("a1");
+    fleet.clock().advance(UNRESPONSIVE_TIME);
+    EngineCore other = addEngine("a2", 0, SPLIT_LAYER);
     await(() -> !other.ledger().isEmpty() || answer.isEnded());
     assertFalse(answer.isEnded(), "the stream ended on the leaving engine");
     int runBefore = first.ledger().size();
@@ -241,16 +241,16 @@
 
   private void assertDeliveredCompletely() {
     await(answer::isEnded);
-assertTrue(answer.isComplete(),()->"ended early: "+answer.refusal());
-fleet.clock().advance(SETTLE_TIME);
-assertEquals(ImmutableList.of(),fleet.verifier().problemsOf(answer,TOKENS,true));
+    assertTrue(answer.isComplete(), () -> "ended early: " + answer.refusal());
+    fleet.clock().advance(SETTLE_TIME);
+    assertEquals(ImmutableList.of(), fleet.verifier().problemsOf(answer, TOKENS, true));
     for (EndpointState engine : fleet.node("n1").endpoints().all()) {
       assertEquals(0, engine.inFlight(), engine.endpoint().id()::toString);
     }
   }
 
   private void assertNothingRebuilt() {
-ImmutableList<LedgerEntry>runs=fleet.verifier().runsOf(answer.prompt());
-assertTrue(runs.stream().noneMatch(LedgerEntry::rebuilt),"a session was rebuilt");
+    ImmutableList<LedgerEntry> runs = fleet.verifier().runsOf(answer.prompt());
+    assertTrue(runs.stream().noneMatch(LedgerEntry::rebuilt), "a session was rebuilt");
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/SuspectedEngineStreamTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/pipeline/SuspectedEngineStreamTest.java
@@ -92,10 +92,11 @@
     return fleet.ask("n1", "prompt", TOKENS, CallerOptions.NONE);
   }
 
-private void assertDeliveredCompletely(RecordedAnswer answer){
-assertTrue(fleet.clock().advanceUntil(answer::isEnded,TIMEOUT),"the answer did not end in time");
-assertTrue(answer.isComplete(),()->"refused: "+answer.refusal());
-assertEquals(ImmutableList.of(),fleet.verifier().problemsOf(answer,TOKENS,true));
+  private void assertDeliveredCompletely(RecordedAnswer answer) {
+    assertTrue(
+        fleet.clock().advanceUntil(answer::isEnded, TIMEOUT), "the answer did not end in time");
+    assertTrue(answer.isComplete(), () -> "refused: " + answer.refusal());
+    assertEquals(ImmutableList.of(), fleet.verifier().problemsOf(answer, TOKENS, true));
   }
 
   private void assertRefusedAsNotRun(RecordedAnswer answer) {
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/NodeSteps.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/NodeSteps.java
@@ -80,8 +80,8 @@
 
   /** Cuts the connection from one node to another, in this direction only. */
   @When("the way from {word} to {word} is cut")
-public void cutConnection(String from,String to){
-world.fleet().peers().blockLink(world.fleet().addressOf(from),world.fleet().addressOf(to));
+  public void cutConnection(String from, String to) {
+    world.fleet().peers().blockLink(world.fleet().addressOf(from), world.fleet().addressOf(to));
   }
 
   /** Drops the next replies of a node to its peers. */
@@ -92,20 +92,20 @@
 
   /** Makes the store unavailable. */
   @When("the store goes down")
-public void stopStore(){
-world.fleet().store().setDown(true);
+  public void stopStore() {
+    world.fleet().store().setDown(true);
   }
 
   /** Makes the store available again. */
   @When("the store is back")
-public void restoreStore(){
-world.fleet().store().setDown(false);
+  public void restoreStore() {
+    world.fleet().store().setDown(false);
   }
 
   /** Delays the answers of the store. */
   @When("the store answers {int} ms late")
-public void slowStore(int millis){
-world.fleet().store().delayAnswers(Duration.ofMillis(millis));
+  public void slowStore(int millis) {
+    world.fleet().store().delayAnswers(Duration.ofMillis(millis));
   }
 
   /** Drops the store's answers to the next writes, which take effect. */
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/StreamSteps.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/scenarios/StreamSteps.java
@@ -164,8 +164,8 @@
   public void answerIsWhole(String caller) {
     awaitEnd(caller);
     RecordedAnswer answer = world.answer(caller);
-assertTrue(answer.isComplete(),()->caller+": "+answer.refusal());
-checkGuarantees(caller);
+    assertTrue(answer.isComplete(), () -> caller + ": " + answer.refusal());
+    checkGuarantees(caller);
   }
 
   /**
@@ -221,8 +221,9 @@
 
   /** Freezes the engine that most recently ran the first layers of a stream. */
   @When("the engine that runs {word}'s first layers freezes")
-public void freezeFirstEngine(String caller){
-ImmutableList<LedgerEntry>runs=world.fleet().verifier().runsOf(world.answer(caller).prompt());
+  public void freezeFirstEngine(String caller) {
+    ImmutableList<LedgerEntry> runs =
+        world.fleet().verifier().runsOf(world.answer(caller).prompt());
     int newest = runs.stream().mapToInt(LedgerEntry::step).max().orElseThrow();
     for (EngineCore engine : world.fleet().endpoints().engines()) {
       boolean isCurrent =
