--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineArrivals.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineArrivals.java
@@ -44,21 +44,21 @@
   }
 
   /** Records a request from a node. */
-  void arrived(int node, long atMillis) {
+  void recordArrival(int node, long atMillis) {
     Long informed = informedAt.get(node);
     arrivals.add(
         new Arrival(atMillis, informed != null && informed + NODE_REACTION_MILLIS <= atMillis));
   }
 
   /** Records that a node passed on an answer of the engine. */
-  void answered(int node, long atMillis) {
+  void recordAnswer(int node, long atMillis) {
     if (limit().isLimited()) {
       informedAt.putIfAbsent(node, atMillis);
     }
   }
 
   /** Records a restart of a node, which is exempt until it gets an answer with a limit again. */
-  void nodeStarted(int node) {
+  void recordRestart(int node) {
     informedAt.remove(node);
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineBackoffs.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineBackoffs.java
@@ -43,7 +43,7 @@
   private int calls;
 
   /** Records that the engine rejected a call of a node with a backoff. */
-  void requestBackoff(int node, long atMillis, int lengthMillis) {
+  void recordBackoff(int node, long atMillis, int lengthMillis) {
     backoffs.add(new NodeBackoff(node, atMillis + NODE_REACTION_MILLIS, atMillis + lengthMillis));
   }
 
@@ -54,7 +54,7 @@
   }
 
   /** Records a restart of a node, which no longer knows of backoffs requested before. */
-  void nodeStarted(int node, long atMillis) {
+  void recordRestart(int node, long atMillis) {
     backoffs.stream()
         .filter(backoff -> backoff.node == node && atMillis < backoff.toMillis)
         .forEach(backoff -> backoff.exempt = true);
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineDrain.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/EngineDrain.java
@@ -26,19 +26,19 @@
   }
 
   /** Records that a node passed on an answer that announced it. */
-  void answered(int node, long atMillis) {
+  void recordAnswer(int node, long atMillis) {
     informedAt.putIfAbsent(node, atMillis);
   }
 
   /** Records a request from a node. */
-  void arrived(int node, long atMillis) {
+  void recordArrival(int node, long atMillis) {
     Long informed = informedAt.get(node);
     if (informed != null && atMillis > informed + NETWORK_DELAY_MILLIS) {
       lateArrivals++;
     }
   }
 
-  void nodeStarted(int node) {
+  void recordRestart(int node) {
     informedAt.remove(node);
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCluster.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCluster.java
@@ -139,7 +139,7 @@
   /** Whether all load reports between nodes are lost. */
   boolean dropLoadReports;
 
-  private BiConsumer<Integer, String> sendListener = (node, id) -> {};
+  private BiConsumer<Integer, String> attemptListener = (node, id) -> {};
   private int startedEngines;
   private int incarnations;
   private int sentRequests;
@@ -259,27 +259,27 @@
         unreadRequests.add(request);
         whenResponsive(() -> readPending(request));
       } else if (detailed) {
-        acceptUnlessClosed(request);
+        handleUnlessClosed(request);
       } else {
-        accept(request);
+        handle(request);
       }
     }
 
     private void readPending(EngineRequest request) {
       if (unreadRequests.remove(request)) {
-        acceptUnlessClosed(request);
+        handleUnlessClosed(request);
       }
     }
 
-    private void acceptUnlessClosed(EngineRequest request) {
+    private void handleUnlessClosed(EngineRequest request) {
       if (request.isSenderAlive() && !request.record.isClosed()) {
-        accept(request);
+        handle(request);
       }
     }
 
-    private void accept(EngineRequest request) {
+    private void handle(EngineRequest request) {
       backoffs.recordCall(request.node, nowMillis());
-      drain.arrived(request.node, nowMillis());
+      drain.recordArrival(request.node, nowMillis());
       if (hasNoLayers()) {
         request.record.finish(AttemptRecord.Outcome.REJECTED);
         Head head =
@@ -297,7 +297,7 @@
       if (request.crashes()) {
         crashingArrivals.add(new Arrival(request.node, nowMillis()));
       }
-      arrivals.arrived(request.node, nowMillis());
+      arrivals.recordArrival(request.node, nowMillis());
       request.record.start();
       activeRequests.add(request);
       schedule(START_DELAY_MILLIS, () -> startProcessing(request));
@@ -307,7 +307,7 @@
       StatedBackoff backoff = StatedBackoff.none();
       if (rejectionBackoffMillis.getAsInt() > 0) {
         if (senderAlive) {
-          backoffs.requestBackoff(node, nowMillis(), rejectionBackoffMillis.getAsInt());
+          backoffs.recordBackoff(node, nowMillis(), rejectionBackoffMillis.getAsInt());
         }
         backoff = StatedBackoff.of(Duration.ofMillis(rejectionBackoffMillis.getAsInt()));
       }
@@ -321,7 +321,7 @@
         return signal;
       }
       if (senderAlive) {
-        drain.answered(node, nowMillis());
+        drain.recordAnswer(node, nowMillis());
       }
       return signal.thatLeaves();
     }
@@ -340,7 +340,7 @@
       }
       Head head = Head.of(200, signal(request.node, request.isSenderAlive()));
       request.deliver(() -> request.listener.head(head));
-      arrivals.answered(request.node, nowMillis());
+      arrivals.recordAnswer(request.node, nowMillis());
       if (request.crashes()) {
         schedule(CRASH_DELAY_MILLIS, this::crash);
       }
@@ -883,7 +883,7 @@
     Engine engine = engines.get(attempt.endpoint().address());
     if (nodes.get(index) == sender) { // Drops the requests of an incarnation that has stopped.
       attempts.computeIfAbsent(attempt.request().id(), id -> new ArrayList<>()).add(request.record);
-      sendListener.accept(index, attempt.request().id());
+      attemptListener.accept(index, attempt.request().id());
       schedule(NETWORK_DELAY_MILLIS, () -> engine.receive(request));
     }
     return request;
@@ -917,7 +917,7 @@
 
   /** Sets a listener that gets the node and the request's id before each attempt is sent. */
   void onAttempt(BiConsumer<Integer, String> listener) {
-    sendListener = listener;
+    attemptListener = listener;
   }
 
   /** Returns the attempts of a request, in the order in which they were sent. */
@@ -1025,9 +1025,9 @@
     }
     nodes.set(node, new Node(node));
     for (Engine engine : engines.values()) {
-      engine.arrivals.nodeStarted(node);
-      engine.backoffs.nodeStarted(node, nowMillis());
-      engine.drain.nodeStarted(node);
+      engine.arrivals.recordRestart(node);
+      engine.backoffs.recordRestart(node, nowMillis());
+      engine.drain.recordRestart(node);
     }
   }
 
