--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EndpointListWatch.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EndpointListWatch.java
@@ -64,8 +64,8 @@
   }
 
   @Override
-  public void unavailable(StoreOutage silence) {
-    fleet.recordStoreFailure(silence.lastCallStartedAt(), silence.lastPosition());
+  public void unavailable(StoreOutage outage) {
+    fleet.recordStoreFailure(outage.lastCallStartedAt(), outage.lastPosition());
   }
 
   @Override
--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
@@ -98,7 +98,7 @@
     this.io = io;
     counters = Counters.in(meters);
     fleet = Fleet.create(io, counters, RELIST_GRACE);
-    adapters.engines().onStatement(fleet.signals()::recordCallAnswer);
+    adapters.engines().onSignal(fleet.signals()::recordCallAnswer);
     peerVersions = new PeerVersions(io);
     SharedStore store = MeasuredStore.of(io, adapters.store(), counters);
     SuspensionDetector suspensions =
--- a/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryEndpoints.java
+++ b/vaneworks-testlib/src/main/java/org/vaneworks/testlib/InMemoryEndpoints.java
@@ -145,7 +145,7 @@
   }
 
   @Override
-  public void forget(HostPort address) {
+  public void closeConnections(HostPort address) {
     forgotten.add(address);
   }
 
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SharedEngines.java
@@ -614,7 +614,7 @@
       Random random = new Random(seed + number);
       Counters counters = Counters.in(meters);
       fleet = Fleet.create(clock, counters, EntryNode.RELIST_GRACE);
-      onStatement(fleet.signals()::recordCallAnswer);
+      onSignal(fleet.signals()::recordCallAnswer);
       exchange =
           LoadExchange.create(
               clock,
@@ -693,7 +693,7 @@
     }
 
     @Override
-    public void onStatement(BiConsumer<FleetEndpoint, EndpointSignal> listener) {
+    public void onSignal(BiConsumer<FleetEndpoint, EndpointSignal> listener) {
       statements = listener;
     }
 
@@ -706,7 +706,7 @@
       engine.backoffs.called(place, nowMillis());
       boolean turnedAway = engine.turnsAwayForMillis.isPresent();
       EndpointSignal said =
-          turnedAway ? engine.turnedAway(place, true).statement() : engine.answer(place, true);
+          turnedAway ? engine.turnedAway(place, true).signal() : engine.answer(place, true);
       statements.accept(endpoint, said);
       return turnedAway;
     }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FakeResponseHead.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FakeResponseHead.java
@@ -9,11 +9,7 @@
 
 /** A response head with values set by the test. */
 public record FakeResponseHead(
-    int status,
-    boolean notRun,
-    boolean matches,
-    Optional<HostPort> obstacle,
-    EndpointSignal statement)
+    int status, boolean notRun, boolean matches, Optional<HostPort> obstacle, EndpointSignal signal)
     implements ResponseHead {
   /** Returns a head with the given status that matches the request. */
   public static FakeResponseHead of(int status) {
@@ -25,9 +21,9 @@
     return of(status, EndpointSignal.NONE.withLimit(limit));
   }
 
-  /** Returns such a head with the given statement. */
-  public static FakeResponseHead of(int status, EndpointSignal statement) {
-    return new FakeResponseHead(status, false, true, Optional.empty(), statement);
+  /** Returns such a head with the given signals. */
+  public static FakeResponseHead of(int status, EndpointSignal signal) {
+    return new FakeResponseHead(status, false, true, Optional.empty(), signal);
   }
 
   /** Returns the head of a rejection, with a stated backoff. */
@@ -35,8 +31,8 @@
     return rejected(EndpointSignal.NONE.withBackoff(backoff));
   }
 
-  /** Returns the head of a rejection, with the given statement. */
-  public static FakeResponseHead rejected(EndpointSignal statement) {
-    return new FakeResponseHead(503, true, true, Optional.empty(), statement);
+  /** Returns the head of a rejection, with the given signals. */
+  public static FakeResponseHead rejected(EndpointSignal signal) {
+    return new FakeResponseHead(503, true, true, Optional.empty(), signal);
   }
 }
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/ForwardingBackoffTest.java
@@ -136,10 +136,10 @@
   void misdirectedResponseSetsNoBackoff() {
     FleetEndpoint only = node.replica(1);
     node.request("/safe/x");
-    EndpointSignal statement = EndpointSignal.NONE.withBackoff(RequestedBackoff.of(BACKOFF));
+    EndpointSignal signal = EndpointSignal.NONE.withBackoff(RequestedBackoff.of(BACKOFF));
     node.lastAttempt()
         .listener
-        .head(new FakeResponseHead(421, true, true, Optional.empty(), statement));
+        .head(new FakeResponseHead(421, true, true, Optional.empty(), signal));
     node.advance(900);
     node.request("/safe/x");
     assertTrue(sentTo(only) >= 2);
--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/placement/PlacementControllerTest.java
@@ -60,9 +60,9 @@
     public CompletableFuture<EngineReport> report(FleetEndpoint engine, Duration limit) {
       reports++;
       if (refusesCalls) {
-        EndpointSignal statement =
+        EndpointSignal signal =
             EndpointSignal.NONE.withBackoff(RequestedBackoff.of(Duration.ofSeconds(3)));
-        fleet.signals().recordCallAnswer(engine, statement);
+        fleet.signals().recordCallAnswer(engine, signal);
         return CompletableFuture.failedFuture(new BackoffRequestedException());
       }
       FleetEndpoint now = fleet.find("m", engine.address()).get().endpoint();
--- a/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/StubHeaderDialect.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/transport/entry/StubHeaderDialect.java
@@ -44,7 +44,7 @@
   }
 
   @Override
-  public EndpointSignal statement(int status, HttpHeaders headers) {
+  public EndpointSignal signal(int status, HttpHeaders headers) {
     return EndpointSignal.NONE;
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointClient.java
@@ -27,11 +27,11 @@
   CompletableFuture<Void> importSession(Endpoint endpoint, SessionId target, SessionExport export);
 
   /**
-   * Releases what is kept for an address that is no longer listed. Calls in flight continue.
+   * Closes the connections to an address that is no longer listed, once its calls have ended.
    *
    * <p>The default implementation does nothing.
    */
-  default void forget(HostPort address) {}
+  default void closeConnections(HostPort address) {}
 
   /** Calls a plain service. */
   CompletableFuture<ServiceReply> invoke(Endpoint endpoint, ServiceCall call);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointLimits.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointLimits.java
@@ -19,7 +19,7 @@
   public EndpointLimits {
     checkArgument(
         minProgressDeadline.compareTo(stepTimeout) <= 0,
-        "minProgressDeadline %s must not be over stepTimeout %s",
+        "minProgressDeadline %s must not exceed stepTimeout %s",
         minProgressDeadline,
         stepTimeout);
     checkArgument(streamsWhileUnknown > 0, "streamsWhileUnknown: %s", streamsWhileUnknown);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointMonitor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointMonitor.java
@@ -188,7 +188,7 @@
       }
     }
     removedIds.forEach(table::remove);
-    unlisted.forEach(client::forget);
+    unlisted.forEach(client::closeConnections);
   }
 
   private synchronized Optional<EndpointState> stateOf(WatchedBox watched) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointHistory.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointHistory.java
@@ -75,7 +75,7 @@
     copyEntries.remove(id);
   }
 
-  /** Records that the store was restored from an older copy. */
+  /** Records that the store was restored from a backup. */
   void recordNewEra() {
     long oldest = clock.currentTime(NANOSECONDS) - MAX_COPY_AGE.toNanos();
     removedAt.values().removeIf(at -> at < oldest);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineControl.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EngineControl.java
@@ -55,7 +55,7 @@
    * Registers a listener for the signals on an engine's answer, called before the answer is
    * processed.
    */
-  default void onStatement(BiConsumer<FleetEndpoint, EndpointSignal> listener) {}
+  default void onSignal(BiConsumer<FleetEndpoint, EndpointSignal> listener) {}
 
   /** Closes the connections to an address whose process is down. */
   default void closeConnections(HostPort address) {}
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Fleet.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Fleet.java
@@ -140,7 +140,7 @@
   }
 
   /**
-   * Records that the store was restored from an older copy; a complete list follows.
+   * Records that the store was restored from a backup; a complete list follows.
    *
    * <p>Endpoints that the copy does not list may merely not have written their entries again.
    * Endpoints that it lists may have been removed since, as this node observed.
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CapacityQueue.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CapacityQueue.java
@@ -62,7 +62,7 @@
     }
 
     /** Returns when the endpoints of the request accept requests again, capacity aside. */
-    RequestSchedule openings();
+    RequestSchedule requestSchedule();
 
     /** Refuses the request: no capacity is expected in time. */
     void refuse();
@@ -206,11 +206,11 @@
 
   private boolean cannotBeServed(Entry entry, int ahead) {
     Waiter waiter = entry.waiter();
-    RequestSchedule openings = waiter.openings();
-    if (!openings.allowsAny()) {
+    RequestSchedule schedule = waiter.requestSchedule();
+    if (!schedule.allowsAny()) {
       return !waiter.continues() || now() + waitBehind(ahead) > waiter.waitsUntil();
     }
-    double expected = Math.max(now() + waitBehind(ahead), openings.timeOf(ahead, now()));
+    double expected = Math.max(now() + waitBehind(ahead), schedule.timeOf(ahead, now()));
     return expected > waiter.waitsUntil();
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
@@ -198,7 +198,7 @@
   }
 
   /** Returns when the endpoints of the service accept requests again, capacity aside. */
-  RequestSchedule openings() {
+  RequestSchedule requestSchedule() {
     return model
         .map(profile -> context.fleet().requestSchedule(service, profile.layers()))
         .orElseGet(() -> context.fleet().requestSchedule(service));
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardContext.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardContext.java
@@ -23,7 +23,7 @@
  * @param queues requests that wait for capacity
  * @param budget limits repeated sends
  * @param quarantine contents of requests that are not sent
- * @param endedEndpoints records which requests lost their endpoint
+ * @param crashDetector attributes the crash of an endpoint to the requests that it had just begun
  * @param dataCentre this node's data centre
  * @param counters counts refusals and retries
  */
@@ -38,6 +38,6 @@
     CapacityQueues queues,
     ResendBudget budget,
     Quarantine quarantine,
-    CrashDetector endedEndpoints,
+    CrashDetector crashDetector,
     String dataCentre,
     Counters counters) {}
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
@@ -126,7 +126,7 @@
   void start() {
     deadlineTimer =
         context.clock().schedule(this::onDeadline, Math.max(0, deadline - startedAt), NANOSECONDS);
-    context.budget().earn();
+    context.budget().deposit();
     if (quarantine.isQuarantined()) {
       refuseQuarantined();
       return;
@@ -160,8 +160,8 @@
     }
 
     @Override
-    public RequestSchedule openings() {
-      return selector.openings();
+    public RequestSchedule requestSchedule() {
+      return selector.requestSchedule();
     }
 
     @Override
@@ -266,7 +266,7 @@
 
     @Override
     public void head(ResponseHead head) {
-      noteStatement(head, running.endpoint());
+      noteSignal(head, running.endpoint());
       if (isOrBecomesCurrent()) {
         progress.headReceived();
         failover.stop();
@@ -311,10 +311,10 @@
     metrics.recordPart(now());
   }
 
-  /** Records the endpoint's statement, unless another endpoint may have responded in its place. */
-  private void noteStatement(ResponseHead head, TrackedEndpoint endpoint) {
+  /** Records the endpoint's signals, unless another endpoint may have responded in its place. */
+  private void noteSignal(ResponseHead head, TrackedEndpoint endpoint) {
     if (head.matches() && head.status() != MISDIRECTED) {
-      context.fleet().signals().recordAnswer(endpoint, head.statement());
+      context.fleet().signals().recordAnswer(endpoint, head.signal());
     }
   }
 
@@ -418,7 +418,7 @@
     }
     selector.release();
     Optional<ResendDenial> denial = denial(verdict, runs);
-    if (denial.isEmpty() && !context.budget().spend()) {
+    if (denial.isEmpty() && !context.budget().tryWithdraw()) {
       denial = Optional.of(ResendDenial.BUDGET_EXHAUSTED);
     }
     if (denial.isPresent()) {
@@ -450,7 +450,7 @@
 
   /** Acquires another endpoint, after a delay if this loss may quarantine the request. */
   private void retry(Verdict verdict) {
-    if (verdict == Verdict.NOT_RUN || !quarantine.isOneLossShort()) {
+    if (verdict == Verdict.NOT_RUN || !quarantine.isOneCrashFromQuarantine()) {
       acquireEndpoint();
       return;
     }
@@ -515,7 +515,7 @@
   }
 
   private Duration retryAfter() {
-    Duration untilOpen = selector.openings().untilFirst(now());
+    Duration untilOpen = selector.requestSchedule().untilFirst(now());
     return deadlines.retryAfter(
         queue.expectedWait(), untilOpen, now(), context.random().nextDouble());
   }
@@ -659,7 +659,7 @@
     }
     recordDetectionTime();
     Duration wait = Duration.ZERO;
-    if (running().mayHaveArrived() && quarantine.isOneLossShort()) {
+    if (running().mayHaveArrived() && quarantine.isOneCrashFromQuarantine()) {
       noteLost(selector.target());
       wait = FAILURE_DETECTION_DELAY;
     }
@@ -692,7 +692,7 @@
   private Optional<ResendDenial> denialIfAbandoned() {
     Verdict verdict = running().verdictIfAbandoned();
     Optional<ResendDenial> denial = denial(verdict, verdict == Verdict.NOT_RUN ? runs : runs + 1);
-    boolean exhausted = denial.isEmpty() && !context.budget().canSpend();
+    boolean exhausted = denial.isEmpty() && !context.budget().canWithdraw();
     return exhausted ? Optional.of(ResendDenial.BUDGET_EXHAUSTED) : denial;
   }
 
@@ -712,7 +712,7 @@
     if (!selector.select()) {
       return false;
     }
-    context.budget().spend();
+    context.budget().tryWithdraw();
     String detail = abortAttempt(trigger, endpoint);
     logSentAgain(endpoint.toString(), trigger.failure(), detail);
     send();
@@ -725,7 +725,7 @@
     if (present.isEmpty()) {
       return false;
     }
-    context.budget().spend();
+    context.budget().tryWithdraw();
     Trigger trigger = failover.trigger();
     previous =
         Optional.of(new PreviousAttempt(running(), present.get(), splitter.takePartial(), trigger));
@@ -750,7 +750,7 @@
     boolean lost = trigger.unresponsive().suspected() || trigger.unresponsive().hasEnded();
     if (lost) {
       Duration wait =
-          verdict == Verdict.NOT_RUN || !quarantine.isOneLossShort()
+          verdict == Verdict.NOT_RUN || !quarantine.isOneCrashFromQuarantine()
               ? Duration.ZERO
               : FAILURE_DETECTION_DELAY;
       failover.start(trigger, wait);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
@@ -44,7 +44,7 @@
   }
 
   /** Returns whether one more endpoint loss would quarantine the request. */
-  boolean isOneLossShort() {
+  boolean isOneCrashFromQuarantine() {
     return !context.quarantine().isEmpty()
         && context.quarantine().isOneCrashFromQuarantine(content());
   }
@@ -60,7 +60,7 @@
     if (start.isEmpty()) {
       start = Optional.of(RequestStart.of(content()));
     }
-    context.endedEndpoints().recordLoss(endpoint, start.get(), sinceFirstPart.orElse(sinceSent));
+    context.crashDetector().recordLoss(endpoint, start.get(), sinceFirstPart.orElse(sinceSent));
   }
 
   /** Notes that an endpoint completed the request. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendBudget.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendBudget.java
@@ -7,7 +7,7 @@
 /**
  * This node's share of the fleet's retry budget.
  *
- * <p>Each request earns a fraction of a retry. A reserve, divided by the number of live nodes,
+ * <p>Each request deposits a fraction of a retry. A reserve, divided by the number of live nodes,
  * covers the first failures. In any time window, a node sends again at most the configured share of
  * the requests of that window plus its reserve. Confined to the node's event loop.
  */
@@ -41,19 +41,19 @@
     fleetReserve = limits.retryReserve() * USABLE_RESERVE_FRACTION;
   }
 
-  /** Adds the share earned by a new request. */
-  void earn() {
+  /** Deposits the share of a new request. */
+  void deposit() {
     spentBeyondShare = Math.max(0, spentBeyondShare - share);
   }
 
   /** Returns whether the budget allows another retry. */
-  boolean canSpend() {
+  boolean canWithdraw() {
     return spentBeyondShare + 1 <= fleetReserve / liveNodes.getAsInt();
   }
 
-  /** Spends one retry; returns false if the budget is exhausted. */
-  boolean spend() {
-    if (!canSpend()) {
+  /** Withdraws one retry; returns false, and withdraws nothing, if the budget is exhausted. */
+  boolean tryWithdraw() {
+    if (!canWithdraw()) {
       return false;
     }
     spentBeyondShare += 1;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResponseHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResponseHead.java
@@ -21,8 +21,8 @@
    */
   Optional<HostPort> obstacle();
 
-  /** Returns the endpoint's statement about its own state. */
-  EndpointSignal statement();
+  /** Returns the signals that the endpoint reports about itself. */
+  EndpointSignal signal();
 
   /** Returns whether the status is 2xx. */
   default boolean success() {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/SharedQuarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/SharedQuarantine.java
@@ -275,7 +275,7 @@
   }
 
   @Override
-  public void unavailable(StoreOutage silence) {
+  public void unavailable(StoreOutage outage) {
     storeOutageAt = now();
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/transport/HttpEndpointClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/HttpEndpointClient.java
@@ -89,7 +89,7 @@
   }
 
   @Override
-  public void forget(HostPort address) {
+  public void closeConnections(HostPort address) {
     sender.closeConnections(address);
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointConnections.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointConnections.java
@@ -184,7 +184,7 @@
               dialect.notRun(status, headers),
               dialect.matches(headers, requestId),
               dialect.obstacle(headers),
-              dialect.statement(status, headers)));
+              dialect.signal(status, headers)));
       SourceAdapters.toSource(response.payloadBody()).subscribe(this);
     }
 
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointResponseHead.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/EndpointResponseHead.java
@@ -13,14 +13,14 @@
  * @param notRun whether the endpoint reports that it did not run the request
  * @param matches whether the response carries the ID of the request that was sent
  * @param obstacle the engine named as the reason that the request was not run, if any
- * @param statement the signals that the endpoint reports about itself
+ * @param signal the signals that the endpoint reports about itself
  */
 record EndpointResponseHead(
     HttpResponseMetaData response,
     boolean notRun,
     boolean matches,
     Optional<HostPort> obstacle,
-    EndpointSignal statement)
+    EndpointSignal signal)
     implements ResponseHead {
   @Override
   public int status() {
--- a/vaneworks/src/main/java/org/vaneworks/transport/entry/HeaderDialect.java
+++ b/vaneworks/src/main/java/org/vaneworks/transport/entry/HeaderDialect.java
@@ -36,7 +36,7 @@
   Optional<HostPort> obstacle(HttpHeaders headers);
 
   /** Returns the signals that a response carries about its endpoint. */
-  EndpointSignal statement(int status, HttpHeaders headers);
+  EndpointSignal signal(int status, HttpHeaders headers);
 
   /** Returns whether a response belongs to the request with the given ID. */
   boolean matches(HttpHeaders headers, String requestId);
