--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointHistory.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/EndpointHistory.java
@@ -15,30 +15,30 @@
  * Remembers the newest incarnation of each endpoint and the endpoints that were removed recently.
  *
  * <p>Information about a former incarnation may arrive late, and a store that is restored from a
- * backup copy may list endpoints that have been removed since. Confined to the node's event loop.
+ * backup may list endpoints that have been removed since. Confined to the node's event loop.
  */
 final class EndpointHistory {
   /** Four times the endpoints of the largest planned fleet; takes about 1 MB. */
   private static final int MAX_ENTRIES = 10_000;
 
   /**
-   * Upper bound on the age of the copy that a store is restored from; copies are usually some
+   * Upper bound on the age of the backup that a store is restored from; backups are usually some
    * seconds old.
    */
-  private static final Duration MAX_COPY_AGE = Duration.ofMinutes(2);
+  private static final Duration MAX_BACKUP_AGE = Duration.ofMinutes(2);
 
   private final Executor clock;
   private final Map<String, Incarnation> newestIncarnations = new LinkedHashMap<>();
   private final Map<String, Long> removedAt = new LinkedHashMap<>();
 
   /**
-   * Endpoints that were removed before the newest copy of the store was read and have not been
+   * Endpoints that were removed before the newest backup of the store was read and have not been
    * listed since.
    */
   private final Set<String> removedBeforeRestore = new HashSet<>();
 
-  /** The copy's entries of endpoints in {@link #removedBeforeRestore}. */
-  private final Map<String, FleetEndpoint> copyEntries = new LinkedHashMap<>();
+  /** The backup's entries of endpoints in {@link #removedBeforeRestore}. */
+  private final Map<String, FleetEndpoint> backupEntries = new LinkedHashMap<>();
 
   EndpointHistory(Executor clock) {
     this.clock = checkNotNull(clock);
@@ -72,15 +72,15 @@
   /** Records that an endpoint's entry was removed. */
   void recordUnlisted(String id) {
     removedBeforeRestore.remove(id);
-    copyEntries.remove(id);
+    backupEntries.remove(id);
   }
 
   /** Records that the store was restored from a backup. */
   void recordNewEra() {
-    long oldest = clock.currentTime(NANOSECONDS) - MAX_COPY_AGE.toNanos();
+    long oldest = clock.currentTime(NANOSECONDS) - MAX_BACKUP_AGE.toNanos();
     removedAt.values().removeIf(at -> at < oldest);
     removedBeforeRestore.addAll(removedAt.keySet());
-    copyEntries.clear();
+    backupEntries.clear();
   }
 
   /** Returns whether an endpoint had been removed before the store was restored. */
@@ -88,14 +88,14 @@
     return removedBeforeRestore.contains(id);
   }
 
-  /** Keeps the copy's entry of an endpoint that had been removed. */
+  /** Keeps the backup's entry of an endpoint that had been removed. */
   void retain(FleetEndpoint entry) {
-    copyEntries.put(entry.id(), entry);
+    backupEntries.put(entry.id(), entry);
   }
 
-  /** Returns the copy's entries of removed endpoints that have not been removed again since. */
-  ImmutableList<FleetEndpoint> entriesInCopyOnly() {
-    return ImmutableList.copyOf(copyEntries.values());
+  /** Returns the backup's entries of removed endpoints that have not been removed again since. */
+  ImmutableList<FleetEndpoint> entriesInBackupOnly() {
+    return ImmutableList.copyOf(backupEntries.values());
   }
 
   private static void evictOldest(Map<String, ?> byId) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Fleet.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Fleet.java
@@ -39,10 +39,10 @@
  */
 public final class Fleet {
   /**
-   * An entry that exists only in a restored copy of the store disappears within this time if its
+   * An entry that exists only in a restored backup of the store disappears within this time if its
    * endpoint has gone: after some missed renewals, or when its removal is written again.
    */
-  private static final Duration COPY_SETTLE_TIME = Duration.ofSeconds(10);
+  private static final Duration BACKUP_SETTLE_TIME = Duration.ofSeconds(10);
 
   private final Executor clock;
   private final Counters counters;
@@ -59,7 +59,7 @@
   private final List<Consumer<TrackedEndpoint>> incarnationEndListeners = new ArrayList<>();
   private final List<Consumer<TrackedEndpoint>> processDownListeners = new ArrayList<>();
 
-  private long copySettledAt = Long.MAX_VALUE;
+  private long backupSettledAt = Long.MAX_VALUE;
 
   private Fleet(Executor clock, Counters counters, Duration relistGrace) {
     this.clock = checkNotNull(clock);
@@ -142,14 +142,14 @@
   /**
    * Records that the store was restored from a backup; a complete list follows.
    *
-   * <p>Endpoints that the copy does not list may merely not have written their entries again.
+   * <p>Endpoints that the backup does not list may merely not have written their entries again.
    * Endpoints that it lists may have been removed since, as this node observed.
    */
   public void recordNewEra() {
     outage.recordFailure(now());
     outage.setPositionBefore(Optional.empty());
     history.recordNewEra();
-    copySettledAt = now() + COPY_SETTLE_TIME.toNanos();
+    backupSettledAt = now() + BACKUP_SETTLE_TIME.toNanos();
   }
 
   /**
@@ -334,13 +334,13 @@
 
   /**
    * Retains or drops the endpoints that went missing after a store outage, and adds those that only
-   * a restored copy lists once they may be used. Called after all changes up to now have been
+   * a restored backup lists once they may be used. Called after all changes up to now have been
    * processed.
    */
   public void resolveMissing() {
-    if (now() >= copySettledAt) {
+    if (now() >= backupSettledAt) {
       // This node saw them being removed, but their entries have not been removed again since.
-      history.entriesInCopyOnly().forEach(this::put);
+      history.entriesInBackupOnly().forEach(this::put);
     }
     ImmutableList<TrackedEndpoint> missing = withState(ListingState.MISSING);
     if (missing.isEmpty()) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/EndpointSelector.java
@@ -96,10 +96,10 @@
   }
 
   /**
-   * Notes that the request failed at the selected endpoint, so that the next selection avoids it if
-   * there is an alternative. Failure detection would be too late for this request.
+   * Records that the request failed at the selected endpoint, so that the next selection avoids it
+   * if there is an alternative. Failure detection would be too late for this request.
    */
-  void noteFailed() {
+  void recordFailure() {
     target.ifPresent(failed::add);
   }
 
@@ -175,25 +175,25 @@
   }
 
   private void assign(EnginePath chosen) {
-    noteSend(chosen.first());
+    recordSend(chosen.first());
     chosen.parts().stream()
         .map(PathPart::engine)
         .filter(engine -> engine != chosen.first())
-        .forEach(this::noteLaterPart);
+        .forEach(this::recordLaterPart);
     chosen.reserve(size.tokens());
   }
 
   private void assign(TrackedEndpoint replica) {
-    noteSend(replica);
+    recordSend(replica);
     replica.reserve(0);
   }
 
-  private void noteSend(TrackedEndpoint endpoint) {
+  private void recordSend(TrackedEndpoint endpoint) {
     CallPurpose purpose = tried.isEmpty() ? CallPurpose.FIRST_SEND : CallPurpose.REPEATED_SEND;
     context.fleet().signals().recordCall(endpoint, purpose);
   }
 
-  private void noteLaterPart(TrackedEndpoint engine) {
+  private void recordLaterPart(TrackedEndpoint engine) {
     context.fleet().signals().recordCall(engine, CallPurpose.LATER_HOP);
   }
 
@@ -216,7 +216,7 @@
   }
 
   /** Avoids the endpoint that prevented the request from running for a while, and returns it. */
-  TrackedEndpoint noteObstacle(ResponseHead refused) {
+  TrackedEndpoint recordObstacle(ResponseHead refused) {
     TrackedEndpoint obstacle = refused.obstacle().flatMap(this::engineAt).orElseGet(this::target);
     boolean misdirected = refused.status() == MISDIRECTED;
     Duration pause = misdirected ? MISDIRECTED_BACKOFF : OVERLOAD_BACKOFF;
@@ -237,7 +237,7 @@
     next.parts().stream()
         .map(PathPart::engine)
         .filter(engine -> !previous.contains(engine))
-        .forEach(this::noteLaterPart);
+        .forEach(this::recordLaterPart);
     path = Optional.of(next);
   }
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
@@ -230,7 +230,7 @@
 
   private void send() {
     sends++;
-    quarantine.noteSent();
+    quarantine.recordSent();
     RunningAttempt running = new RunningAttempt(selector.target(), now());
     attempt = Optional.of(running);
     lastSentTo = Optional.of(running.endpoint());
@@ -266,7 +266,7 @@
 
     @Override
     public void head(ResponseHead head) {
-      noteSignal(head, running.endpoint());
+      recordSignal(head, running.endpoint());
       if (isOrBecomesCurrent()) {
         progress.headReceived();
         failover.stop();
@@ -279,7 +279,7 @@
       if (isOrBecomesCurrent()) {
         progress.partReceived();
         failover.stop();
-        notePart(running);
+        recordPart(running);
         passOn(bytes, running);
       }
     }
@@ -302,8 +302,8 @@
     }
   }
 
-  private void notePart(RunningAttempt running) {
-    running.notePart(now());
+  private void recordPart(RunningAttempt running) {
+    running.recordPart(now());
     if (!firstPartReceived && sends == 1) {
       queue.recordFirstPartTime(now() - running.sentAt());
     }
@@ -312,7 +312,7 @@
   }
 
   /** Records the endpoint's signals, unless another endpoint may have responded in its place. */
-  private void noteSignal(ResponseHead head, TrackedEndpoint endpoint) {
+  private void recordSignal(ResponseHead head, TrackedEndpoint endpoint) {
     if (head.matches() && head.status() != MISDIRECTED) {
       context.fleet().signals().recordAnswer(endpoint, head.signal());
     }
@@ -325,7 +325,7 @@
           Verdict.MAY_HAVE_RUN, AttemptFailure.MISMATCHED_RESPONSE, "an answer to another request");
     } else if (head.notRun()) {
       running.discard();
-      TrackedEndpoint obstacle = selector.noteObstacle(head);
+      TrackedEndpoint obstacle = selector.recordObstacle(head);
       String cause = "status " + head.status() + " for want of " + obstacle;
       attemptEnded(Verdict.NOT_RUN, AttemptFailure.ENDPOINT_REFUSED, cause);
     } else if (head.status() >= SERVER_ERROR && (headSent || route.kind().idempotent())) {
@@ -374,7 +374,7 @@
   }
 
   private void finish() {
-    quarantine.noteCompleted();
+    quarantine.recordAnswer();
     byte[] partialEvent = splitter.takePartial();
     if (partialEvent.length > 0) {
       response.data(partialEvent);
@@ -385,11 +385,11 @@
   }
 
   private void failed(boolean neverSent, Throwable cause, TrackedEndpoint endpoint) {
-    selector.noteFailed();
+    selector.recordFailure();
     if (!neverSent) {
-      noteLost(endpoint);
+      recordLoss(endpoint);
     }
-    noteFailure(cause, endpoint);
+    recordFailure(cause, endpoint);
     if (!selector.runsOnEngines() && (endpoint.recordFailure() > 1 || neverSent)) {
       endpoint.avoidUntil(now() + FAILED_REPLICA_PAUSE.toNanos());
     }
@@ -399,7 +399,7 @@
         String.valueOf(cause));
   }
 
-  private void noteFailure(Throwable cause, TrackedEndpoint endpoint) {
+  private void recordFailure(Throwable cause, TrackedEndpoint endpoint) {
     if (cause instanceof ConnectionRefusedException) {
       context.fleet().recordConnectionRefused(endpoint);
     }
@@ -636,14 +636,14 @@
     @Override
     public void engineLost(TrackedEndpoint engine) {
       recordDetectionTime();
-      noteLost(engine);
+      recordLoss(engine);
     }
 
     @Override
     public void repaired() {
       progress.reset();
       failover.stop();
-      quarantine.noteSent();
+      quarantine.recordSent();
     }
 
     @Override
@@ -660,7 +660,7 @@
     recordDetectionTime();
     Duration wait = Duration.ZERO;
     if (running().mayHaveArrived() && quarantine.isOneCrashFromQuarantine()) {
-      noteLost(selector.target());
+      recordLoss(selector.target());
       wait = FAILURE_DETECTION_DELAY;
     }
     failover.start(new Trigger(failure, unresponsive, cause), wait);
@@ -774,7 +774,7 @@
     previous.ifPresent(
         abandoned -> {
           if (abandoned.attempt().mayHaveArrived()) {
-            noteLost(abandoned.attempt(), abandoned.attempt().endpoint());
+            recordLoss(abandoned.attempt(), abandoned.attempt().endpoint());
           }
           cancelPrevious();
         });
@@ -791,9 +791,9 @@
 
   private void previousFailed(Throwable cause) {
     RunningAttempt failed = previous.orElseThrow().attempt();
-    noteLost(failed, failed.endpoint());
+    recordLoss(failed, failed.endpoint());
     cancelPrevious();
-    noteFailure(cause, failed.endpoint());
+    recordFailure(cause, failed.endpoint());
   }
 
   private boolean isPrevious(RunningAttempt candidate) {
@@ -804,7 +804,7 @@
   private String abortAttempt(Trigger trigger, TrackedEndpoint endpoint) {
     Verdict verdict = running().verdictIfAbandoned();
     if (verdict == Verdict.MAY_HAVE_RUN) {
-      noteLost(endpoint);
+      recordLoss(endpoint);
     }
     running().cancel();
     return closeAttempt(verdict, trigger.failure(), trigger.cause());
@@ -859,7 +859,7 @@
   private void abandonEndpoint(AttemptFailure failure, String cause) {
     Verdict verdict = running().verdictIfAbandoned();
     if (verdict == Verdict.MAY_HAVE_RUN) {
-      noteLost(selector.target());
+      recordLoss(selector.target());
     }
     running().cancel();
     attemptEnded(verdict, failure, cause);
@@ -870,15 +870,15 @@
     context.counters().record(Metric.DETECTION_TIME, silence);
   }
 
-  private void noteLost(TrackedEndpoint endpoint) {
-    noteLost(running(), endpoint);
+  private void recordLoss(TrackedEndpoint endpoint) {
+    recordLoss(running(), endpoint);
   }
 
-  /** Notes the loss of an endpoint that has the attempt or is on its path. */
-  private void noteLost(RunningAttempt affected, TrackedEndpoint endpoint) {
+  /** Records the loss of an endpoint that has the attempt or is on its path. */
+  private void recordLoss(RunningAttempt affected, TrackedEndpoint endpoint) {
     long now = now();
     Duration sinceSent = Duration.ofNanos(now - affected.sentAt());
-    quarantine.noteLost(endpoint, sinceSent, affected.sinceFirstPart(now));
+    quarantine.recordLoss(endpoint, sinceSent, affected.sinceFirstPart(now));
   }
 
   /** Called when requests of a content are quarantined: refuses this one if it is waiting. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ProgressMonitor.java
@@ -100,7 +100,7 @@
     lastProgress = now();
   }
 
-  /** Notes that a part of the response arrived. */
+  /** Records that a part of the response arrived. */
   void partReceived() {
     long now = now();
     // The head and the first event arrive together, and so do delayed events. A single short pause
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
@@ -49,13 +49,13 @@
         && context.quarantine().isOneCrashFromQuarantine(content());
   }
 
-  /** Notes that the request was sent, or continues over another path. */
-  void noteSent() {
+  /** Records that the request was sent, or continues over another path. */
+  void recordSent() {
     start = Optional.empty();
   }
 
-  /** Notes the loss of an endpoint to which the request was sent or which was on its path. */
-  void noteLost(TrackedEndpoint endpoint, Duration sinceSent, Optional<Duration> sinceFirstPart) {
+  /** Records the loss of an endpoint to which the request was sent or which was on its path. */
+  void recordLoss(TrackedEndpoint endpoint, Duration sinceSent, Optional<Duration> sinceFirstPart) {
     ForwardLog.lostEndpoint(request, content(), endpoint, sinceSent, sinceFirstPart);
     if (start.isEmpty()) {
       start = Optional.of(RequestStart.of(content()));
@@ -63,8 +63,8 @@
     context.crashDetector().recordLoss(endpoint, start.get(), sinceFirstPart.orElse(sinceSent));
   }
 
-  /** Notes that an endpoint completed the request. */
-  void noteCompleted() {
+  /** Records that an endpoint completed the request. */
+  void recordAnswer() {
     if (!context.quarantine().isEmpty()) {
       context.quarantine().recordAnswer(content());
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RunningAttempt.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RunningAttempt.java
@@ -39,8 +39,8 @@
     return sentAt;
   }
 
-  /** Notes that a part of the response arrived. */
-  void notePart(long now) {
+  /** Records that a part of the response arrived. */
+  void recordPart(long now) {
     if (firstPartAt.isEmpty()) {
       firstPartAt = OptionalLong.of(now);
     }
