--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FakeResponseHead.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FakeResponseHead.java
@@ -16,7 +16,7 @@
     return of(status, EndpointSignal.NONE);
   }
 
-  /** Returns such a head with a stated rate limit. */
+  /** Returns such a head with the given rate limit. */
   public static FakeResponseHead of(int status, AdvertisedRateLimit limit) {
     return of(status, EndpointSignal.NONE.withLimit(limit));
   }
@@ -26,7 +26,7 @@
     return new FakeResponseHead(status, false, true, Optional.empty(), signal);
   }
 
-  /** Returns the head of a rejection, with a stated backoff. */
+  /** Returns the head of a rejection, with the given backoff. */
   public static FakeResponseHead rejected(RequestedBackoff backoff) {
     return rejected(EndpointSignal.NONE.withBackoff(backoff));
   }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/OnceService.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/OnceService.java
@@ -51,7 +51,7 @@
  *
  * <p>Exactly one node may run such a request: the home of its ticket (the node that issued it), or
  * the holder of the claim of its key. Every other node forwards the request to that node and
- * returns the outcome. If that node has failed, the caller is told that the request may have run;
+ * returns the outcome. If that node has failed, the refusal states that the request may have run;
  * no other node may run it, unless the records were handed over during a planned stop. Thread-safe.
  */
 final class OnceService {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/admission/ConcurrencyLimit.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/admission/ConcurrencyLimit.java
@@ -16,7 +16,7 @@
  * prompts stall the batches that they join, and the route with the lowest predicted cost tends to
  * be the one whose cost is most underestimated. This limit uses no predictions. It decreases
  * multiplicatively while too many tokens are late, and increases slowly while they are not and the
- * limit is what holds requests back. Thread-safe.
+ * limit delays requests. Thread-safe.
  */
 public final class ConcurrencyLimit {
   /** Fraction of tokens that may be late; slightly below the 5 % that the contract allows. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Fleet.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Fleet.java
@@ -40,7 +40,7 @@
 public final class Fleet {
   /**
    * An entry that exists only in a restored backup of the store disappears within this time if its
-   * endpoint has gone: after some missed renewals, or when its removal is written again.
+   * endpoint no longer runs: after some missed renewals, or when its removal is written again.
    */
   private static final Duration BACKUP_SETTLE_TIME = Duration.ofSeconds(10);
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerDeadlines.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/CallerDeadlines.java
@@ -55,11 +55,11 @@
   /**
    * Returns the deadlines of a request.
    *
-   * @param stated the caller's own timeout, if it stated one
+   * @param requestedTimeout the caller's own timeout, if the request has one
    */
-  static CallerDeadlines of(EntryRoute route, Optional<Duration> stated, long startedAt) {
+  static CallerDeadlines of(EntryRoute route, Optional<Duration> requestedTimeout, long startedAt) {
     checkNotNull(route);
-    Duration callerTimeout = stated.orElse(route.timeout());
+    Duration callerTimeout = requestedTimeout.orElse(route.timeout());
     Duration timeout =
         callerTimeout.compareTo(route.timeout()) < 0 ? callerTimeout : route.timeout();
     return new CallerDeadlines(route, startedAt, timeout);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
@@ -36,8 +36,8 @@
   private static final Duration RESUME_TIMEOUT = Duration.ofMillis(1500);
 
   /**
-   * Time within which a crashed endpoint can be told apart from a lost connection. Waiting for it
-   * saves an endpoint from a request that crashes endpoints.
+   * Time within which a crashed endpoint can be distinguished from a lost connection. Waiting for
+   * it avoids that a request that crashes endpoints is sent to another one.
    */
   private static final Duration FAILURE_DETECTION_DELAY = Duration.ofMillis(100);
 
@@ -866,8 +866,8 @@
   }
 
   private void recordDetectionTime() {
-    Duration silence = Duration.ofNanos(now() - progress.lastProgress());
-    context.counters().record(Metric.DETECTION_TIME, silence);
+    Duration sinceProgress = Duration.ofNanos(now() - progress.lastProgress());
+    context.counters().record(Metric.DETECTION_TIME, sinceProgress);
   }
 
   private void recordLoss(TrackedEndpoint endpoint) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Forwarder.java
@@ -33,8 +33,8 @@
   private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
   /**
-   * Delay before requests leave an engine that announced to stop; it runs two more seconds at
-   * least.
+   * Delay before requests are migrated off an engine that is leaving, which runs for at least two
+   * more seconds.
    */
   private static final Duration MIGRATION_DELAY = Duration.ofMillis(800);
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/PathReplacement.java
@@ -13,7 +13,7 @@
 import org.vaneworks.coordination.relay.EnginePath;
 
 /**
- * Replaces one engine on the path of a running request; the first engine of the path stays.
+ * Replaces one engine on the path of a running request; the first engine is never replaced.
  *
  * <p>The present path remains in use until the first engine has accepted another one: a request
  * whose engine is only leaving still makes progress there, and aborting it would lose that
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
@@ -43,7 +43,7 @@
     return !context.quarantine().isEmpty() && context.quarantine().isQuarantined(content());
   }
 
-  /** Returns whether one more endpoint loss would quarantine the request. */
+  /** Returns whether one more crash would quarantine the request. */
   boolean isOneCrashFromQuarantine() {
     return !context.quarantine().isEmpty()
         && context.quarantine().isOneCrashFromQuarantine(content());
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendBudget.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendBudget.java
@@ -12,10 +12,12 @@
  * the requests of that window plus its reserve. Confined to the node's event loop.
  */
 public final class ResendBudget {
-  /** Fraction of the fleet's reserve that is used, because restarted processes start unspent. */
+  /** Fraction of the fleet's reserve that is used, because a restarted process spends anew. */
   private static final double USABLE_RESERVE_FRACTION = 0.6;
 
-  /** Fraction of the earned share that is used, because a window's requests may come at its end. */
+  /**
+   * Fraction of the deposited share that is used, because a window's requests may come at its end.
+   */
   private static final double USABLE_SHARE_FRACTION = 0.8;
 
   private final IntSupplier liveNodes;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/load/LoadExchange.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/load/LoadExchange.java
@@ -73,7 +73,7 @@
   private static final double MEAN_AGE_ROUNDS = 0.5;
 
   /**
-   * Number of rounds without a report after which a node or group is considered gone or unable to
+   * Number of rounds without a report after which a node or group is considered dead or unable to
    * reach this node.
    */
   private static final int ROUNDS_TO_EXPIRY = 4;
--- a/vaneworks/src/main/java/org/vaneworks/coordination/routing/RoutingSettings.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/routing/RoutingSettings.java
@@ -9,7 +9,7 @@
  * @param admission decides whether a route accepts another stream
  * @param cost unit in which a request counts against its workspace's share
  * @param fixedCap maximum number of streams on one engine, for {@link AdmissionKind#FIXED}
- * @param retryShare number of retries earned by one first attempt
+ * @param retryShare number of retries deposited by one first attempt
  */
 public record RoutingSettings(
     PolicyKind policy, AdmissionKind admission, CostKind cost, int fixedCap, double retryShare) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/NodeLease.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/NodeLease.java
@@ -26,7 +26,7 @@
  * This node's leases in the store: the lease of its entry in the list of live nodes and, on the
  * node that is elected, the controller's lease.
  *
- * <p>The entries only tell how many nodes share the endpoints and at which addresses they accept
+ * <p>The entries only show how many nodes share the endpoints and at which addresses they accept
  * connections from peers, so their lease is long: with a short one, renewals were two thirds of all
  * store calls of a large fleet. The controller's lease is short, and is opened only to claim the
  * role. Confined to the node's event loop.
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/Peer.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/Peer.java
@@ -20,7 +20,7 @@
   }
 
   // Written by hand: the generated methods are linked through method handles, whose classes are
-  // spun again at each start.
+  // generated again at each start.
 
   @Override
   public boolean equals(Object other) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/PrefixFollower.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/PrefixFollower.java
@@ -21,9 +21,9 @@
  * Keeps a listener up to date with all items under a key prefix.
  *
  * <p>Reads all items once, then watches for changes from the position of that read. If the store no
- * longer has the history since that position, all items are read again. {@link #confirmedAt} tells
- * the age of the view: it is the time at which the newest successful call was sent, not the time of
- * its response. Confined to the node's event loop.
+ * longer has the history since that position, all items are read again. {@link #confirmedAt}
+ * returns the time at which the newest successful call was sent, not the time of its response, so
+ * the view is at most that old. Confined to the node's event loop.
  */
 public final class PrefixFollower {
   private static final Duration INITIAL_BACKOFF = Duration.ofMillis(50);
