--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FailoverTest.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FailoverTest.java
@@ -15,7 +15,7 @@
 import org.vaneworks.coordination.forwarding.ForwardingLimits;
 import org.vaneworks.tests.forwarding.ForwardingFixture.SentAttempt;
 
-/** Checks when a request at a silent engine fails over, and when a failover stops. */
+/** Checks when a request at an unresponsive engine fails over, and when a failover stops. */
 final class FailoverTest {
   private final ForwardingFixture node = new ForwardingFixture();
 
@@ -44,8 +44,8 @@
     fillCapacity(node.engine(3, 40, 80));
   }
 
-  /** Lets an engine stop responding until the node suspects it. */
-  private void silence(FleetEndpoint engine) {
+  /** Makes an engine unresponsive and waits until the node suspects it. */
+  private void makeUnresponsive(FleetEndpoint engine) {
     node.control.dead.add(engine.address());
     node.advance(400);
     assertTrue(suspected(engine));
@@ -80,7 +80,7 @@
   void streamDoesNotFailOverToSameEngine() {
     FleetEndpoint engine = node.engine(1, 0, 80);
     SentAttempt running = startStream("/stream/x");
-    silence(engine);
+    makeUnresponsive(engine);
     node.control.dead.clear();
     node.advance(500);
     assertFalse(suspected(engine));
@@ -94,7 +94,7 @@
     FleetEndpoint engine = node.engine(1, 0, 80);
     SentAttempt running = startStream("/stream/x");
     registerFullEngines();
-    silence(engine);
+    makeUnresponsive(engine);
     node.control.dead.clear();
     node.advance(500);
     assertFalse(suspected(engine));
@@ -140,7 +140,8 @@
     assertEquals(Optional.empty(), response.refusal);
   }
 
-  // A non-idempotent request that had arrived before is never aborted because of silence.
+  // A non-idempotent request that had arrived before is never aborted because its engine is
+  // unresponsive.
   @Test
   void nonIdempotentRequestStaysIfItArrivedBeforeSilence() {
     FleetEndpoint engine = node.engine(1, 0, 80);
@@ -163,7 +164,7 @@
     }
     registerFullEngines();
     setRetryBudget(1);
-    silence(engine);
+    makeUnresponsive(engine);
     assertEquals(4, node.sent.size(), "sends before there is capacity");
     node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
     node.advance(40);
@@ -208,7 +209,8 @@
     assertEquals(2, node.sent.size(), "sends in 15 s");
   }
 
-  // Guards against a stream that never continues once its silent engine is known to have ended.
+  // Guards against a stream that never continues once its unresponsive engine is known to have
+  // ended.
   @Test
   void stayingStreamIsReroutedOnceLaterEngineHasEnded() {
     node.engine(5, 0, 40);
@@ -263,7 +265,8 @@
     assertEquals(before + 1, node.sent.size());
   }
 
-  // Guards against a stream that never fails over when only one of its two silent engines recovers.
+  // Guards against a stream that never fails over when only one of its two unresponsive engines
+  // recovers.
   @Test
   void streamFailsOverForLostLaterEngineAfterFirstEngineRecovers() {
     FleetEndpoint first = node.engine(5, 0, 40);
@@ -322,7 +325,7 @@
     FleetEndpoint engine = node.engine(1, 0, 80);
     SentAttempt running = startStream("/stream/x");
     registerFullEngines();
-    silence(engine);
+    makeUnresponsive(engine);
     node.control.dead.clear();
     avoid(engine);
     node.advance(500);
@@ -342,7 +345,7 @@
       streams.add(startStream("/stream/" + i));
     }
     registerFullEngines();
-    silence(engine);
+    makeUnresponsive(engine);
     assertEquals(3, node.sent.size());
     // Exhausts the budget, as failures of other requests would.
     setRetryBudget(0);
@@ -363,7 +366,7 @@
     }
     registerFullEngines();
     setRetryBudget(1);
-    silence(engine);
+    makeUnresponsive(engine);
     assertEquals(44, node.sent.size(), "sends before there is capacity");
     node.fleet.all().forEach(any -> any.setPeerLoad(0, 0, 1));
     node.advance(40);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
@@ -37,7 +37,7 @@
 
   /**
    * Time within which a crashed endpoint can be distinguished from a lost connection. Waiting for
-   * it avoids that a request that crashes endpoints is sent to another one.
+   * it prevents a request that crashes endpoints from being sent to another one.
    */
   private static final Duration FAILURE_DETECTION_DELAY = Duration.ofMillis(100);
 
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendBudget.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendBudget.java
@@ -12,7 +12,9 @@
  * the requests of that window plus its reserve. Confined to the node's event loop.
  */
 public final class ResendBudget {
-  /** Fraction of the fleet's reserve that is used, because a restarted process spends anew. */
+  /**
+   * Fraction of the fleet's reserve that is used, because a restarted process has spent nothing.
+   */
   private static final double USABLE_RESERVE_FRACTION = 0.6;
 
   /**
