--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointClient.java
@@ -7,8 +7,8 @@
 /**
  * Sends calls to endpoints.
  *
- * <p>Every failed future carries a {@link org.vaneworks.state.RefusalException} whose verdict says
- * whether the call may have run. An implementation sends each call at most once.
+ * <p>Every failed future carries a {@link org.vaneworks.state.RefusalException} whose verdict
+ * states whether the call may have run. An implementation sends each call at most once.
  */
 public interface EndpointClient {
   /** Requests an endpoint's status. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Incarnation.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Incarnation.java
@@ -26,7 +26,7 @@
   }
 
   // Implemented explicitly: the generated methods are linked through method handles, whose classes
-  // would be spun again at each start of the node.
+  // would have to be generated at each start of the node.
 
   @Override
   public boolean equals(Object other) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/shared/Peer.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/shared/Peer.java
@@ -19,8 +19,8 @@
     checkNotNull(address);
   }
 
-  // Written by hand: the generated methods are linked through method handles, whose classes are
-  // generated again at each start.
+  // Written out: the generated methods of a record are linked through method handles, whose classes
+  // the JVM has to generate at each start.
 
   @Override
   public boolean equals(Object other) {
--- a/vaneworks/src/main/java/org/vaneworks/protocol/InvalidFieldException.java
+++ b/vaneworks/src/main/java/org/vaneworks/protocol/InvalidFieldException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Thrown if a field of a document is missing or invalid; the message says what is allowed. */
+/** Thrown if a field of a document is missing or invalid; the message states what is allowed. */
 public final class InvalidFieldException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
--- a/vaneworks/src/main/java/org/vaneworks/state/CallRule.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/CallRule.java
@@ -3,7 +3,7 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Rule that says whether matching calls of a plain service may be repeated.
+ * Rule that determines whether matching calls of a plain service may be repeated.
  *
  * @param method HTTP method
  * @param pathPrefix prefix of the path relative to the service
--- a/vaneworks/src/main/java/org/vaneworks/state/EndpointId.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/EndpointId.java
@@ -9,10 +9,10 @@
  * @param incarnation id that the endpoint gives to this incarnation
  */
 public record EndpointId(String box, String incarnation) {
-  /** Checks that both components are given. */
+  /** Checks that neither component is empty. */
   public EndpointId {
-    checkArgument(!box.isEmpty(), "an endpoint's box must be named");
-    checkArgument(!incarnation.isEmpty(), "the incarnation of endpoint %s must be given", box);
+    checkArgument(!box.isEmpty(), "an endpoint's box must not be empty");
+    checkArgument(!incarnation.isEmpty(), "the incarnation of endpoint %s must not be empty", box);
   }
 
   @Override
--- a/vaneworks/src/main/java/org/vaneworks/state/Refusal.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/Refusal.java
@@ -90,7 +90,7 @@
     return detail;
   }
 
-  /** Returns how long the caller should wait before it retries, if the refusal says so. */
+  /** Returns how long the caller should wait before it retries, if specified. */
   public Optional<Duration> retryAfter() {
     return retryAfter;
   }
--- a/vaneworks/src/main/java/org/vaneworks/state/StreamId.java
+++ b/vaneworks/src/main/java/org/vaneworks/state/StreamId.java
@@ -10,9 +10,9 @@
  * @param nonce random number that keeps the ids distinct if two nodes have the same name by mistake
  */
 public record StreamId(String node, long sequence, long nonce) {
-  /** Checks that the node is named. */
+  /** Checks that the node is not empty. */
   public StreamId {
-    checkArgument(!node.isEmpty(), "a stream's node must be named");
+    checkArgument(!node.isEmpty(), "a stream's node must not be empty");
   }
 
   @Override
