--- a/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Incarnation.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/fleet/Incarnation.java
@@ -25,8 +25,8 @@
     return new Incarnation(OptionalLong.of(unixMillis));
   }
 
-  // Implemented explicitly: the generated methods are linked through method handles, whose classes
-  // would have to be generated at each start of the node.
+  // Written out: the generated methods of a record are linked through method handles, whose classes
+  // the JVM has to generate at each start.
 
   @Override
   public boolean equals(Object other) {
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Failover.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/Failover.java
@@ -11,9 +11,9 @@
 /**
  * Failover of one request whose endpoint does not respond.
  *
- * <p>Silence does not prove that the endpoint is dead. The present attempt therefore continues, and
- * its data is passed on, until another endpoint is acquired; if there is none, it just continues.
- * Confined to the node's event loop.
+ * <p>A missing response does not prove that the endpoint is dead. The present attempt therefore
+ * continues, and its data is passed on, until another endpoint is acquired; if there is none, the
+ * attempt continues. Confined to the node's event loop.
  */
 final class Failover {
   /**
--- a/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/Quarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/quarantine/Quarantine.java
@@ -24,10 +24,10 @@
  * The requests that this node quarantines because several endpoints each crashed just after they
  * had begun the same request.
  *
- * <p>A single crash proves little, since every request that the endpoint had just begun is
- * suspected alike. A request that was present each time is quarantined; a request that is answered
- * in between is cleared. When the quarantine of a request expires, the request may run again and is
- * quarantined anew at the next crash. Confined to the node's event loop.
+ * <p>A single crash proves little, since every request that the endpoint had just begun is equally
+ * suspected. A request that was present each time is quarantined; a request that is answered in
+ * between is cleared. When the quarantine of a request expires, the request may run again and is
+ * quarantined again at the next crash. Confined to the node's event loop.
  */
 public final class Quarantine {
   /**
