--- a/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FakeResponseHead.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/tests/forwarding/FakeResponseHead.java
@@ -9,34 +9,30 @@
 
 /** A response head with values set by the test. */
 public record FakeResponseHead(
-    int status,
-    boolean notRun,
-    boolean matches,
-    Optional<HostPort> obstacle,
-    EndpointSignal statement)
+    int status, boolean notRun, boolean matches, Optional<HostPort> obstacle, EndpointSignal signal)
     implements ResponseHead {
   /** Returns a head with the given status that matches the request. */
   public static FakeResponseHead of(int status) {
     return of(status, EndpointSignal.NONE);
   }
 
-  /** Returns such a head with a stated rate limit. */
+  /** Returns such a head with the given rate limit. */
   public static FakeResponseHead of(int status, AdvertisedRateLimit limit) {
     return of(status, EndpointSignal.NONE.withLimit(limit));
   }
 
-  /** Returns such a head with the given statement. */
-  public static FakeResponseHead of(int status, EndpointSignal statement) {
-    return new FakeResponseHead(status, false, true, Optional.empty(), statement);
+  /** Returns such a head with the given signals. */
+  public static FakeResponseHead of(int status, EndpointSignal signal) {
+    return new FakeResponseHead(status, false, true, Optional.empty(), signal);
   }
 
-  /** Returns the head of a rejection, with a stated backoff. */
+  /** Returns the head of a rejection, with the given backoff. */
   public static FakeResponseHead rejected(RequestedBackoff backoff) {
     return rejected(EndpointSignal.NONE.withBackoff(backoff));
   }
 
-  /** Returns the head of a rejection, with the given statement. */
-  public static FakeResponseHead rejected(EndpointSignal statement) {
-    return new FakeResponseHead(503, true, true, Optional.empty(), statement);
+  /** Returns the head of a rejection, with the given signals. */
+  public static FakeResponseHead rejected(EndpointSignal signal) {
+    return new FakeResponseHead(503, true, true, Optional.empty(), signal);
   }
 }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointClient.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/endpoints/EndpointClient.java
@@ -7,8 +7,8 @@
 /**
  * Sends calls to endpoints.
  *
- * <p>Every failed future carries a {@link org.vaneworks.state.RefusalException} whose verdict says
- * whether the call may have run. An implementation sends each call at most once.
+ * <p>Every failed future carries a {@link org.vaneworks.state.RefusalException} whose verdict
+ * states whether the call may have run. An implementation sends each call at most once.
  */
 public interface EndpointClient {
   /** Requests an endpoint's status. */
@@ -27,11 +27,11 @@
   CompletableFuture<Void> importSession(Endpoint endpoint, SessionId target, SessionExport export);
 
   /**
-   * Releases what is kept for an address that is no longer listed. Calls in flight continue.
+   * Closes the connections to an address that is no longer listed, once its calls have ended.
    *
    * <p>The default implementation does nothing.
    */
-  default void forget(HostPort address) {}
+  default void closeConnections(HostPort address) {}
 
   /** Calls a plain service. */
   CompletableFuture<ServiceReply> invoke(Endpoint endpoint, ServiceCall call);
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ForwardedRequest.java
@@ -36,8 +36,8 @@
   private static final Duration RESUME_TIMEOUT = Duration.ofMillis(1500);
 
   /**
-   * Time within which a crashed endpoint can be told apart from a lost connection. Waiting for it
-   * saves an endpoint from a request that crashes endpoints.
+   * Time within which a crashed endpoint can be distinguished from a lost connection. Waiting for
+   * it prevents a request that crashes endpoints from being sent to another one.
    */
   private static final Duration FAILURE_DETECTION_DELAY = Duration.ofMillis(100);
 
@@ -126,7 +126,7 @@
   void start() {
     deadlineTimer =
         context.clock().schedule(this::onDeadline, Math.max(0, deadline - startedAt), NANOSECONDS);
-    context.budget().earn();
+    context.budget().deposit();
     if (quarantine.isQuarantined()) {
       refuseQuarantined();
       return;
@@ -160,8 +160,8 @@
     }
 
     @Override
-    public RequestSchedule openings() {
-      return selector.openings();
+    public RequestSchedule requestSchedule() {
+      return selector.requestSchedule();
     }
 
     @Override
@@ -230,7 +230,7 @@
 
   private void send() {
     sends++;
-    quarantine.noteSent();
+    quarantine.recordSent();
     RunningAttempt running = new RunningAttempt(selector.target(), now());
     attempt = Optional.of(running);
     lastSentTo = Optional.of(running.endpoint());
@@ -266,7 +266,7 @@
 
     @Override
     public void head(ResponseHead head) {
-      noteStatement(head, running.endpoint());
+      recordSignal(head, running.endpoint());
       if (isOrBecomesCurrent()) {
         progress.headReceived();
         failover.stop();
@@ -279,7 +279,7 @@
       if (isOrBecomesCurrent()) {
         progress.partReceived();
         failover.stop();
-        notePart(running);
+        recordPart(running);
         passOn(bytes, running);
       }
     }
@@ -302,8 +302,8 @@
     }
   }
 
-  private void notePart(RunningAttempt running) {
-    running.notePart(now());
+  private void recordPart(RunningAttempt running) {
+    running.recordPart(now());
     if (!firstPartReceived && sends == 1) {
       queue.recordFirstPartTime(now() - running.sentAt());
     }
@@ -311,10 +311,10 @@
     metrics.recordPart(now());
   }
 
-  /** Records the endpoint's statement, unless another endpoint may have responded in its place. */
-  private void noteStatement(ResponseHead head, TrackedEndpoint endpoint) {
+  /** Records the endpoint's signals, unless another endpoint may have responded in its place. */
+  private void recordSignal(ResponseHead head, TrackedEndpoint endpoint) {
     if (head.matches() && head.status() != MISDIRECTED) {
-      context.fleet().signals().recordAnswer(endpoint, head.statement());
+      context.fleet().signals().recordAnswer(endpoint, head.signal());
     }
   }
 
@@ -325,7 +325,7 @@
           Verdict.MAY_HAVE_RUN, AttemptFailure.MISMATCHED_RESPONSE, "an answer to another request");
     } else if (head.notRun()) {
       running.discard();
-      TrackedEndpoint obstacle = selector.noteObstacle(head);
+      TrackedEndpoint obstacle = selector.recordObstacle(head);
       String cause = "status " + head.status() + " for want of " + obstacle;
       attemptEnded(Verdict.NOT_RUN, AttemptFailure.ENDPOINT_REFUSED, cause);
     } else if (head.status() >= SERVER_ERROR && (headSent || route.kind().idempotent())) {
@@ -374,7 +374,7 @@
   }
 
   private void finish() {
-    quarantine.noteCompleted();
+    quarantine.recordAnswer();
     byte[] partialEvent = splitter.takePartial();
     if (partialEvent.length > 0) {
       response.data(partialEvent);
@@ -385,11 +385,11 @@
   }
 
   private void failed(boolean neverSent, Throwable cause, TrackedEndpoint endpoint) {
-    selector.noteFailed();
+    selector.recordFailure();
     if (!neverSent) {
-      noteLost(endpoint);
+      recordLoss(endpoint);
     }
-    noteFailure(cause, endpoint);
+    recordFailure(cause, endpoint);
     if (!selector.runsOnEngines() && (endpoint.recordFailure() > 1 || neverSent)) {
       endpoint.avoidUntil(now() + FAILED_REPLICA_PAUSE.toNanos());
     }
@@ -399,7 +399,7 @@
         String.valueOf(cause));
   }
 
-  private void noteFailure(Throwable cause, TrackedEndpoint endpoint) {
+  private void recordFailure(Throwable cause, TrackedEndpoint endpoint) {
     if (cause instanceof ConnectionRefusedException) {
       context.fleet().recordConnectionRefused(endpoint);
     }
@@ -418,7 +418,7 @@
     }
     selector.release();
     Optional<ResendDenial> denial = denial(verdict, runs);
-    if (denial.isEmpty() && !context.budget().spend()) {
+    if (denial.isEmpty() && !context.budget().tryWithdraw()) {
       denial = Optional.of(ResendDenial.BUDGET_EXHAUSTED);
     }
     if (denial.isPresent()) {
@@ -450,7 +450,7 @@
 
   /** Acquires another endpoint, after a delay if this loss may quarantine the request. */
   private void retry(Verdict verdict) {
-    if (verdict == Verdict.NOT_RUN || !quarantine.isOneLossShort()) {
+    if (verdict == Verdict.NOT_RUN || !quarantine.isOneCrashFromQuarantine()) {
       acquireEndpoint();
       return;
     }
@@ -515,7 +515,7 @@
   }
 
   private Duration retryAfter() {
-    Duration untilOpen = selector.openings().untilFirst(now());
+    Duration untilOpen = selector.requestSchedule().untilFirst(now());
     return deadlines.retryAfter(
         queue.expectedWait(), untilOpen, now(), context.random().nextDouble());
   }
@@ -636,14 +636,14 @@
     @Override
     public void engineLost(TrackedEndpoint engine) {
       recordDetectionTime();
-      noteLost(engine);
+      recordLoss(engine);
     }
 
     @Override
     public void repaired() {
       progress.reset();
       failover.stop();
-      quarantine.noteSent();
+      quarantine.recordSent();
     }
 
     @Override
@@ -659,8 +659,8 @@
     }
     recordDetectionTime();
     Duration wait = Duration.ZERO;
-    if (running().mayHaveArrived() && quarantine.isOneLossShort()) {
-      noteLost(selector.target());
+    if (running().mayHaveArrived() && quarantine.isOneCrashFromQuarantine()) {
+      recordLoss(selector.target());
       wait = FAILURE_DETECTION_DELAY;
     }
     failover.start(new Trigger(failure, unresponsive, cause), wait);
@@ -692,7 +692,7 @@
   private Optional<ResendDenial> denialIfAbandoned() {
     Verdict verdict = running().verdictIfAbandoned();
     Optional<ResendDenial> denial = denial(verdict, verdict == Verdict.NOT_RUN ? runs : runs + 1);
-    boolean exhausted = denial.isEmpty() && !context.budget().canSpend();
+    boolean exhausted = denial.isEmpty() && !context.budget().canWithdraw();
     return exhausted ? Optional.of(ResendDenial.BUDGET_EXHAUSTED) : denial;
   }
 
@@ -712,7 +712,7 @@
     if (!selector.select()) {
       return false;
     }
-    context.budget().spend();
+    context.budget().tryWithdraw();
     String detail = abortAttempt(trigger, endpoint);
     logSentAgain(endpoint.toString(), trigger.failure(), detail);
     send();
@@ -725,7 +725,7 @@
     if (present.isEmpty()) {
       return false;
     }
-    context.budget().spend();
+    context.budget().tryWithdraw();
     Trigger trigger = failover.trigger();
     previous =
         Optional.of(new PreviousAttempt(running(), present.get(), splitter.takePartial(), trigger));
@@ -750,7 +750,7 @@
     boolean lost = trigger.unresponsive().suspected() || trigger.unresponsive().hasEnded();
     if (lost) {
       Duration wait =
-          verdict == Verdict.NOT_RUN || !quarantine.isOneLossShort()
+          verdict == Verdict.NOT_RUN || !quarantine.isOneCrashFromQuarantine()
               ? Duration.ZERO
               : FAILURE_DETECTION_DELAY;
       failover.start(trigger, wait);
@@ -774,7 +774,7 @@
     previous.ifPresent(
         abandoned -> {
           if (abandoned.attempt().mayHaveArrived()) {
-            noteLost(abandoned.attempt(), abandoned.attempt().endpoint());
+            recordLoss(abandoned.attempt(), abandoned.attempt().endpoint());
           }
           cancelPrevious();
         });
@@ -791,9 +791,9 @@
 
   private void previousFailed(Throwable cause) {
     RunningAttempt failed = previous.orElseThrow().attempt();
-    noteLost(failed, failed.endpoint());
+    recordLoss(failed, failed.endpoint());
     cancelPrevious();
-    noteFailure(cause, failed.endpoint());
+    recordFailure(cause, failed.endpoint());
   }
 
   private boolean isPrevious(RunningAttempt candidate) {
@@ -804,7 +804,7 @@
   private String abortAttempt(Trigger trigger, TrackedEndpoint endpoint) {
     Verdict verdict = running().verdictIfAbandoned();
     if (verdict == Verdict.MAY_HAVE_RUN) {
-      noteLost(endpoint);
+      recordLoss(endpoint);
     }
     running().cancel();
     return closeAttempt(verdict, trigger.failure(), trigger.cause());
@@ -859,26 +859,26 @@
   private void abandonEndpoint(AttemptFailure failure, String cause) {
     Verdict verdict = running().verdictIfAbandoned();
     if (verdict == Verdict.MAY_HAVE_RUN) {
-      noteLost(selector.target());
+      recordLoss(selector.target());
     }
     running().cancel();
     attemptEnded(verdict, failure, cause);
   }
 
   private void recordDetectionTime() {
-    Duration silence = Duration.ofNanos(now() - progress.lastProgress());
-    context.counters().record(Metric.DETECTION_TIME, silence);
+    Duration sinceProgress = Duration.ofNanos(now() - progress.lastProgress());
+    context.counters().record(Metric.DETECTION_TIME, sinceProgress);
   }
 
-  private void noteLost(TrackedEndpoint endpoint) {
-    noteLost(running(), endpoint);
+  private void recordLoss(TrackedEndpoint endpoint) {
+    recordLoss(running(), endpoint);
   }
 
-  /** Notes the loss of an endpoint that has the attempt or is on its path. */
-  private void noteLost(RunningAttempt affected, TrackedEndpoint endpoint) {
+  /** Records the loss of an endpoint that has the attempt or is on its path. */
+  private void recordLoss(RunningAttempt affected, TrackedEndpoint endpoint) {
     long now = now();
     Duration sinceSent = Duration.ofNanos(now - affected.sentAt());
-    quarantine.noteLost(endpoint, sinceSent, affected.sinceFirstPart(now));
+    quarantine.recordLoss(endpoint, sinceSent, affected.sinceFirstPart(now));
   }
 
   /** Called when requests of a content are quarantined: refuses this one if it is waiting. */
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/RequestQuarantine.java
@@ -43,28 +43,28 @@
     return !context.quarantine().isEmpty() && context.quarantine().isQuarantined(content());
   }
 
-  /** Returns whether one more endpoint loss would quarantine the request. */
-  boolean isOneLossShort() {
+  /** Returns whether one more crash would quarantine the request. */
+  boolean isOneCrashFromQuarantine() {
     return !context.quarantine().isEmpty()
         && context.quarantine().isOneCrashFromQuarantine(content());
   }
 
-  /** Notes that the request was sent, or continues over another path. */
-  void noteSent() {
+  /** Records that the request was sent, or continues over another path. */
+  void recordSent() {
     start = Optional.empty();
   }
 
-  /** Notes the loss of an endpoint to which the request was sent or which was on its path. */
-  void noteLost(TrackedEndpoint endpoint, Duration sinceSent, Optional<Duration> sinceFirstPart) {
+  /** Records the loss of an endpoint to which the request was sent or which was on its path. */
+  void recordLoss(TrackedEndpoint endpoint, Duration sinceSent, Optional<Duration> sinceFirstPart) {
     ForwardLog.lostEndpoint(request, content(), endpoint, sinceSent, sinceFirstPart);
     if (start.isEmpty()) {
       start = Optional.of(RequestStart.of(content()));
     }
-    context.endedEndpoints().recordLoss(endpoint, start.get(), sinceFirstPart.orElse(sinceSent));
+    context.crashDetector().recordLoss(endpoint, start.get(), sinceFirstPart.orElse(sinceSent));
   }
 
-  /** Notes that an endpoint completed the request. */
-  void noteCompleted() {
+  /** Records that an endpoint completed the request. */
+  void recordAnswer() {
     if (!context.quarantine().isEmpty()) {
       context.quarantine().recordAnswer(content());
     }
--- a/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendBudget.java
+++ b/vaneworks/src/main/java/org/vaneworks/coordination/forwarding/ResendBudget.java
@@ -7,15 +7,19 @@
 /**
  * This node's share of the fleet's retry budget.
  *
- * <p>Each request earns a fraction of a retry. A reserve, divided by the number of live nodes,
+ * <p>Each request deposits a fraction of a retry. A reserve, divided by the number of live nodes,
  * covers the first failures. In any time window, a node sends again at most the configured share of
  * the requests of that window plus its reserve. Confined to the node's event loop.
  */
 public final class ResendBudget {
-  /** Fraction of the fleet's reserve that is used, because restarted processes start unspent. */
+  /**
+   * Fraction of the fleet's reserve that is used, because a restarted process has spent nothing.
+   */
   private static final double USABLE_RESERVE_FRACTION = 0.6;
 
-  /** Fraction of the earned share that is used, because a window's requests may come at its end. */
+  /**
+   * Fraction of the deposited share that is used, because a window's requests may come at its end.
+   */
   private static final double USABLE_SHARE_FRACTION = 0.8;
 
   private final IntSupplier liveNodes;
@@ -41,19 +45,19 @@
     fleetReserve = limits.retryReserve() * USABLE_RESERVE_FRACTION;
   }
 
-  /** Adds the share earned by a new request. */
-  void earn() {
+  /** Deposits the share of a new request. */
+  void deposit() {
     spentBeyondShare = Math.max(0, spentBeyondShare - share);
   }
 
   /** Returns whether the budget allows another retry. */
-  boolean canSpend() {
+  boolean canWithdraw() {
     return spentBeyondShare + 1 <= fleetReserve / liveNodes.getAsInt();
   }
 
-  /** Spends one retry; returns false if the budget is exhausted. */
-  boolean spend() {
-    if (!canSpend()) {
+  /** Withdraws one retry; returns false, and withdraws nothing, if the budget is exhausted. */
+  boolean tryWithdraw() {
+    if (!canWithdraw()) {
       return false;
     }
     spentBeyondShare += 1;
