--- a/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
+++ b/vaneworks-daemon/src/main/java/org/vaneworks/daemon/entry/EntryNode.java
@@ -105,8 +105,8 @@
     this.io = io;
     counters = Counters.in(meters);
     fleet = Fleet.create(io, counters, RELIST_GRACE);
-adapters.engines().onSignal(fleet.signals()::recordCallAnswer);
-peerVersions=new PeerConfigurationVersions(io);
+    adapters.engines().onSignal(fleet.signals()::recordCallAnswer);
+    peerVersions = new PeerConfigurationVersions(io);
     SharedStore store = MeasuredStore.of(io, adapters.store(), counters);
     SuspensionDetector suspensionDetector =
         SuspensionDetector.create(io, System::currentTimeMillis, counters);
--- a/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCluster.java
+++ b/vaneworks-tests/src/test/java/org/vaneworks/daemon/entry/SimulatedCluster.java
@@ -618,8 +618,8 @@
       int number = incarnations++;
       Random random = new Random(seed + number);
       Counters counters = Counters.in(meters);
-fleet=Fleet.create(eventLoop,counters,EntryNode.RELIST_GRACE);
-onSignal(fleet.signals()::recordCallAnswer);
+      fleet = Fleet.create(eventLoop, counters, EntryNode.RELIST_GRACE);
+      onSignal(fleet.signals()::recordCallAnswer);
       exchange =
           LoadExchange.create(
               eventLoop,
@@ -700,8 +700,8 @@
     }
 
     @Override
-public void onSignal(BiConsumer<FleetEndpoint,EndpointSignal>listener){
-signalListener=listener;
+    public void onSignal(BiConsumer<FleetEndpoint, EndpointSignal> listener) {
+      signalListener = listener;
     }
 
     /** Records a status call or an order at an engine; returns whether the engine rejects it. */
@@ -710,11 +710,12 @@
         return true;
       }
       Engine engine = engines.get(endpoint.address());
-engine.backoffs.recordCall(index,nowMillis());
-boolean rejected=engine.rejectionBackoffMillis.isPresent();
-EndpointSignal signal=rejected?engine.rejection(index,true).signal():engine.signal(index,true);
-signalListener.accept(endpoint,signal);
-return rejected;
+      engine.backoffs.recordCall(index, nowMillis());
+      boolean rejected = engine.rejectionBackoffMillis.isPresent();
+      EndpointSignal signal =
+          rejected ? engine.rejection(index, true).signal() : engine.signal(index, true);
+      signalListener.accept(endpoint, signal);
+      return rejected;
     }
 
     @Override
